--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -23,7 +23,7 @@
 
 from bench.engineday import SERVICE, TICK_S, EngineDay, EngineFigures, Kind
 from lavenderspoke.direct import pool, scheduler
-from lavenderspoke.direct.scheduler import Line, Scheduler
+from lavenderspoke.direct.scheduler import Scheduler, ServiceQueue
 from lavenderspoke.direct.tickets import Ticket
 
 SEEDS = range(1, 13)
@@ -105,8 +105,8 @@
             self._scheduler.tick(self.now_s)
         return self._earned / self._owed
 
-    def line(self) -> Line:
-        return self._scheduler.line(SERVICE)
+    def line(self) -> ServiceQueue:
+        return self._scheduler.queue(SERVICE)
 
     def patience_s(self, kind: Kind) -> float:
         return PATIENCE_S
@@ -124,15 +124,15 @@
 
 
 def _without_returned(ticket: Ticket) -> tuple:
-    return ticket.rank, ticket.late, ticket.answer_tokens, ticket.number
+    return ticket.rank, ticket.is_late, ticket.answer_tokens, ticket.number
 
 
 def _without_on_time(ticket: Ticket) -> tuple:
-    return ticket.rank, not ticket.returned, ticket.answer_tokens, ticket.number
+    return ticket.rank, not ticket.resubmitted, ticket.answer_tokens, ticket.number
 
 
 def _without_short(ticket: Ticket) -> tuple:
-    return ticket.rank, ticket.late, not ticket.returned, ticket.number
+    return ticket.rank, ticket.is_late, not ticket.resubmitted, ticket.number
 
 
 def _in_order_of_arrival(ticket: Ticket) -> tuple:
@@ -141,15 +141,15 @@
 
 RULES = {
     "nothing": [],
-    "ranks": [(scheduler, "_turn", _in_order_of_arrival)],
-    "places that stay free for ranks above": [(scheduler, "RESERVED", 0.0)],
-    "places guaranteed to ranks below": [(scheduler, "GUARANTEED", 0.0)],
-    "on time before late": [(scheduler, "_turn", _without_on_time)],
-    "returned first": [(scheduler, "_turn", _without_returned)],
-    "short before long": [(scheduler, "_turn", _without_short)],
-    "refused on arrival": [(scheduler, "DOUBT", float("inf"))],
-    "spread over like upstreams": [(pool, "SPREAD", 0.0)],
-    "neighbours in the choice": [(pool, "NEIGHBOUR_PACES", 0.0)],
+    "ranks": [(scheduler, "_priority_key", _in_order_of_arrival)],
+    "places that stay free for ranks above": [(scheduler, "RESERVED_SHARE", 0.0)],
+    "places guaranteed to ranks below": [(scheduler, "GUARANTEED_SHARE", 0.0)],
+    "on time before late": [(scheduler, "_priority_key", _without_on_time)],
+    "returned first": [(scheduler, "_priority_key", _without_returned)],
+    "short before long": [(scheduler, "_priority_key", _without_short)],
+    "refused on arrival": [(scheduler, "EXPECTED_WAIT_TOLERANCE", float("inf"))],
+    "spread over like upstreams": [(pool, "COST_JITTER", 0.0)],
+    "neighbours in the choice": [(pool, "STEPS_PER_CONCURRENT_REQUEST", 0.0)],
 }
 
 
--- a/bench/contended.py
+++ b/bench/contended.py
@@ -13,7 +13,7 @@
 
 from bench.fleet import BURST_S, Fleet, FleetDay
 from bench.longanswers import LongAnswersDay
-from lavenderspoke.direct.scheduler import Line
+from lavenderspoke.direct.scheduler import ServiceQueue
 
 MANY = Fleet(entries=31, engines=29, told_every_s=0.1)
 LOADS = (0.62, 0.75, 0.9)
@@ -46,7 +46,7 @@
     """Return a context in which entries share free places or take what they see."""
     if is_on:
         return contextlib.nullcontext()
-    return mock.patch.object(Line, "_takes", lambda *_: True)
+    return mock.patch.object(ServiceQueue, "_claims_slot", lambda *_: True)
 
 
 def many(load: float, seed: int) -> list[float]:
--- a/bench/engineday.py
+++ b/bench/engineday.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.scheduler import Line
+from lavenderspoke.direct.scheduler import ServiceQueue
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 
 SERVICE = "narrative"
@@ -106,7 +106,7 @@
 
     call: Call
     ticket: Ticket
-    line: Line
+    line: ServiceQueue
 
 
 class EngineDay:
@@ -121,7 +121,7 @@
         self._earned = self._owed = 0.0
         self._engines: dict[str, Engine] = {}
 
-    def line(self) -> Line:
+    def line(self) -> ServiceQueue:
         """Return the line to which the next caller comes."""
         raise NotImplementedError
 
@@ -181,16 +181,16 @@
             rank=(0, kind.rank),
             prompt_tokens=call.prompt_tokens,
             answer_tokens=call.expected_tokens,
-            first_s=call.first_s,
-            quiet_since_s=self.now_s,
+            first_arrival_s=call.first_s,
+            idle_since_s=self.now_s,
             deadline_s=call.first_s + kind.deadline_s,
             target_s=kind.target_s,
             patience_s=self.patience_s(kind),
-            returned=tries > 1,
-            decided=lambda decision: None,
+            resubmitted=tries > 1,
+            on_decision=lambda decision: None,
         )
         sent = Sent(call=call, ticket=ticket, line=line)
-        ticket.decided = lambda decision: self._decided(sent, tries, decision)
+        ticket.on_decision = lambda decision: self._decided(sent, tries, decision)
         line.submit(ticket, self.now_s)
 
     def _decided(self, sent: Sent, tries: int, decision) -> None:
@@ -216,11 +216,11 @@
 
     def _began(self, engine: Engine, sent: Sent) -> None:
         call, upstream_id = sent.call, engine.upstream.upstream_id
-        sent.line.began(sent.ticket, upstream_id, self.now_s)
+        sent.line.record_first_event(sent.ticket, upstream_id, self.now_s)
         step_s = engine.step_s()
-        seat = sent.line.pool.seat(upstream_id)
+        seat = sent.line.pool.state_of(upstream_id)
         if seat is not None:
-            seat.health.stepped(step_s)
+            seat.health.record_step(step_s)
         on_time = self.now_s <= call.first_s + call.kind.target_s
         worth = call.kind.on_time_worth if on_time else call.kind.late_worth
         self._earned += worth * self.worth_times(call)
@@ -237,8 +237,10 @@
                 return
             engine.running -= 1
             call, upstream_id = sent.call, engine.upstream.upstream_id
-            sent.line.pool.writing.wrote(tokens=call.expected_tokens, steps=call.events)
-            sent.line.ended(sent.ticket, upstream_id, self.now_s)
+            sent.line.pool.decode_rate.record(
+                tokens=call.expected_tokens, steps=call.events
+            )
+            sent.line.release(sent.ticket, upstream_id, self.now_s)
             if engine.waiting and engine.running < engine.figures.places:
                 self._arrives(engine, engine.waiting.popleft())
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,8 +22,8 @@
 
 from bench.engineday import SERVICE, TICK_S, Call, EngineDay, EngineFigures, Kind
 from lavenderspoke.direct import scheduler
-from lavenderspoke.direct.pool import Running
-from lavenderspoke.direct.scheduler import Line, PeersShare, Scheduler
+from lavenderspoke.direct.pool import Load
+from lavenderspoke.direct.scheduler import PeerCounts, Scheduler, ServiceQueue
 
 DAY_S = 12.0
 BURST_S = (4.0, 8.0)
@@ -97,7 +97,7 @@
 class Told:
     """What all entries told last, added up, and what each of them had said."""
 
-    running: dict[str, Running] = attrs.field(factory=dict)
+    running: dict[str, Load] = attrs.field(factory=dict)
     waiting: Counter = attrs.field(factory=Counter)
     held: Counter = attrs.field(factory=Counter)
     own: list = attrs.field(factory=list)
@@ -131,8 +131,8 @@
             work()
         return self._earned / self._owed
 
-    def line(self) -> Line:
-        return self._random.choice(self._schedulers).line(SERVICE)
+    def line(self) -> ServiceQueue:
+        return self._random.choice(self._schedulers).queue(SERVICE)
 
     def patience_s(self, kind: Kind) -> float:
         return max(PATIENCE_MIN_S, PATIENCE_TARGETS * kind.target_s)
@@ -146,24 +146,24 @@
     def _scheduler(self, number: int, seed: int) -> Scheduler:
         return Scheduler(
             random=Random(seed * 1000 + number),
-            peers_running=lambda: self._peers_running(number),
-            peers_share=lambda service: self._peers_share(number),
+            peer_loads=lambda: self._peers_running(number),
+            peer_counts=lambda service: self._peers_share(number),
         )
 
-    def _peers_running(self, number: int) -> dict[str, Running]:
+    def _peers_running(self, number: int) -> dict[str, Load]:
         own = self._told.own[number][0] if self._told.own else {}
         return {
-            upstream_id: Running(
-                requests=each.requests - own.get(upstream_id, Running()).requests,
+            upstream_id: Load(
+                requests=each.requests - own.get(upstream_id, Load()).requests,
                 prefill_tokens=each.prefill_tokens
-                - own.get(upstream_id, Running()).prefill_tokens,
+                - own.get(upstream_id, Load()).prefill_tokens,
             )
             for upstream_id, each in self._told.running.items()
         }
 
-    def _peers_share(self, number: int) -> PeersShare:
+    def _peers_share(self, number: int) -> PeerCounts:
         _, waiting, held = self._told.own[number] if self._told.own else ({}, {}, {})
-        return PeersShare(
+        return PeerCounts(
             waiting=self._told.waiting - Counter(waiting),
             held=self._told.held - Counter(held),
             entries=self._fleet.entries - 1,
@@ -174,14 +174,14 @@
         self._at(self.now_s + self._fleet.told_every_s, self._tell)
         told = Told()
         for each in self._schedulers:
-            line = each.line(SERVICE)
-            said = line.pool.running(), line.waiting(), line.held()
+            line = each.queue(SERVICE)
+            said = line.pool.own_loads(), line.waiting(), line.held()
             told.own.append(said)
             told.waiting.update(said[1])
             told.held.update(said[2])
             for upstream_id, own in said[0].items():
-                before = told.running.get(upstream_id, Running())
-                told.running[upstream_id] = Running(
+                before = told.running.get(upstream_id, Load())
+                told.running[upstream_id] = Load(
                     requests=before.requests + own.requests,
                     prefill_tokens=before.prefill_tokens + own.prefill_tokens,
                 )
@@ -218,7 +218,9 @@
     print("| entries, engines | best of all | best of some | gain | standard error |")
     print("| --- | ---: | ---: | ---: | ---: |")
     for fleet, seeds in FLEETS.items():
-        with mock.patch.object(scheduler.Line, "_rivals", lambda line, now_s: 0.0):
+        with mock.patch.object(
+            scheduler.ServiceQueue, "_unseen_requests", lambda line, now_s: 0.0
+        ):
             before = [FleetDay(fleet=fleet, seed=seed).worth() for seed in seeds]
         after = [FleetDay(fleet=fleet, seed=seed).worth() for seed in seeds]
         gains = [new - old for old, new in zip(before, after)]
--- a/bench/longanswers.py
+++ b/bench/longanswers.py
@@ -13,7 +13,7 @@
 from bench import fleet
 from bench.engineday import Call, EngineFigures, Kind, Sent
 from bench.fleet import Fleet, FleetDay
-from lavenderspoke.direct import keptfree
+from lavenderspoke.direct import adaptivereserve
 from lavenderspoke.direct.tickets import Dispatch
 
 FIGURES = EngineFigures(
@@ -111,7 +111,7 @@
     day = LongAnswersDay(
         fleet=Fleet(entries=31, engines=29, told_every_s=0.1), seed=seed, load=load
     )
-    with mock.patch.object(keptfree, "LEAST_PART", least_part):
+    with mock.patch.object(adaptivereserve, "SHARE_MIN", least_part):
         day.worth()
     return day
 
@@ -121,7 +121,7 @@
     print("| load | kept free | highest on time | middle | lowest | lowest refused |")
     print("| ---: | --- | ---: | ---: | ---: | ---: |")
     for load in LOADS:
-        for name, part in (("always", 1.0), ("as needed", keptfree.LEAST_PART)):
+        for name, part in (("always", 1.0), ("as needed", adaptivereserve.SHARE_MIN)):
             days = [play(load, seed, part) for seed in SEEDS]
             on_time = [
                 statistics.mean(day.on_time_part(rank) for day in days)
--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -9,7 +9,7 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import SILENT_S, Whereabouts
+from lavenderspoke.direct.sharing import HEARD_TIMEOUT_S, EntryLocation
 from lavenderspoke.direct.talk import Talk
 from lavenderspoke.direct.tickets import Ticket
 from lavenderspoke.model import InstanceId
@@ -49,7 +49,7 @@
         upstreams: tuple[Upstream, ...] = (UPSTREAM,),
     ):
         self.me = InstanceId(name=name, incarnation="1")
-        self.whereabouts = Whereabouts(
+        self.whereabouts = EntryLocation(
             address=f"tcp://{name}:1", data_centre=data_centre
         )
         self.office = Office(
@@ -176,13 +176,13 @@
         rank=(0, 0),
         prompt_tokens=100,
         answer_tokens=10,
-        first_s=now_s,
-        quiet_since_s=now_s,
+        first_arrival_s=now_s,
+        idle_since_s=now_s,
         deadline_s=now_s + 60.0,
         target_s=1.0,
         patience_s=60.0,
-        returned=False,
-        decided=lambda decision: None,
+        resubmitted=False,
+        on_decision=lambda decision: None,
     )
     entry.office.submit(ticket)
 
@@ -192,8 +192,8 @@
     asker, *others = fleet.entries.values()
     begin_request(asker)
     begun_s = fleet.now_s
-    line = {e.me.name: e.office._scheduler.line(SERVICE) for e in others}
-    while any(line[e.me.name].pool.peers_running() == 0 for e in others):
-        assert fleet.now_s < begun_s + SILENT_S, "not known to all"
+    line = {e.me.name: e.office._scheduler.queue(SERVICE) for e in others}
+    while any(line[e.me.name].pool.peer_requests() == 0 for e in others):
+        assert fleet.now_s < begun_s + HEARD_TIMEOUT_S, "not known to all"
         fleet.run(0.005)
     return fleet.now_s - begun_s
--- a/features/linedrive.py
+++ b/features/linedrive.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.scheduler import PeersShare, Scheduler
+from lavenderspoke.direct.scheduler import PeerCounts, Scheduler
 from lavenderspoke.direct.tickets import Dispatch, Refuse, Ticket
 
 RANKS = {
@@ -44,9 +44,9 @@
 
     def __init__(self, *, upstreams: int, places: int):
         self.now_s = 0.0
-        self.peers = PeersShare()
+        self.peers = PeerCounts()
         self.scheduler = Scheduler(
-            random=Random(7), peers_share=lambda service: self.peers
+            random=Random(7), peer_counts=lambda service: self.peers
         )
         self.upstreams = [
             Upstream(
@@ -60,7 +60,7 @@
             for n in range(upstreams)
         ]
         self.scheduler.reconfigure(tuple(self.upstreams), 0.0)
-        self.line = self.scheduler.line(SERVICE)
+        self.line = self.scheduler.queue(SERVICE)
         self.requests: list[Request] = []
         self.refused: list[tuple[Request, Refuse]] = []
         self.most_at_one = 0
@@ -98,15 +98,15 @@
             rank=RANKS[request.rank],
             prompt_tokens=1000,
             answer_tokens=request.answer_tokens,
-            first_s=request.first_s,
-            quiet_since_s=self.now_s,
+            first_arrival_s=request.first_s,
+            idle_since_s=self.now_s,
             deadline_s=request.deadline_s,
             target_s=request.target_s,
             patience_s=request.deadline_s - self.now_s,
-            returned=request.tries > 1,
-            decided=lambda decision: None,
+            resubmitted=request.tries > 1,
+            on_decision=lambda decision: None,
         )
-        ticket.decided = lambda decision: self.decided(request, ticket, decision)
+        ticket.on_decision = lambda decision: self.decided(request, ticket, decision)
         self.line.submit(ticket, self.now_s)
 
     def decided(self, request: Request, ticket: Ticket, decision) -> None:
@@ -114,12 +114,12 @@
         if isinstance(decision, Dispatch):
             request.began_s = self.now_s
             upstream_id = decision.upstream.upstream_id
-            seat = self.line.pool.seat(upstream_id)
-            self.most_at_one = max(self.most_at_one, len(seat.own))
+            seat = self.line.pool.state_of(upstream_id)
+            self.most_at_one = max(self.most_at_one, len(seat.own_requests))
             hold_s = self._random.expovariate(1 / request.hold_s)
             self.at(
                 self.now_s + hold_s,
-                lambda: self.line.ended(ticket, upstream_id, self.now_s),
+                lambda: self.line.release(ticket, upstream_id, self.now_s),
             )
             return
         self.refused.append((request, decision))
@@ -147,13 +147,13 @@
             rank=RANKS["highest"],
             prompt_tokens=100,
             answer_tokens=ANSWER_TOKENS,
-            first_s=self.now_s,
-            quiet_since_s=self.now_s,
+            first_arrival_s=self.now_s,
+            idle_since_s=self.now_s,
             deadline_s=self.now_s + 5.0,
             target_s=0.8,
             patience_s=5.0,
-            returned=False,
-            decided=decisions.append,
+            resubmitted=False,
+            on_decision=decisions.append,
         )
         ticket = Ticket(**(fields | changes))
         self.line.submit(ticket, self.now_s)
--- a/features/rolloutdrive.py
+++ b/features/rolloutdrive.py
@@ -212,13 +212,13 @@
             rank=(0, 0),
             prompt_tokens=1000,
             answer_tokens=ROUTES[route][1],
-            first_s=self.now_s,
-            quiet_since_s=self.now_s,
+            first_arrival_s=self.now_s,
+            idle_since_s=self.now_s,
             deadline_s=self.now_s + 10.0,
             target_s=1.0,
             patience_s=10.0,
-            returned=False,
-            decided=lambda decision: self._decided(entry, ticket, decision),
+            resubmitted=False,
+            on_decision=lambda decision: self._decided(entry, ticket, decision),
         )
         entry.office.submit(ticket)
 
--- a/features/steps/contended_steps.py
+++ b/features/steps/contended_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from features.entryfleet import upstream_of
-from lavenderspoke.direct.pool import Pool, Running
-from lavenderspoke.direct.scheduler import Line, PeersShare
+from lavenderspoke.direct.pool import Load, Pool
+from lavenderspoke.direct.scheduler import PeerCounts, ServiceQueue
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 
 RANK = (0, 0)
@@ -28,13 +28,13 @@
         in_line: int | None = None,
     ):
         random = Random(seed)
-        self.line = Line(pool=Pool(random=random), random=random)
+        self.line = ServiceQueue(pool=Pool(random=random), random=random)
         self.line.pool.reconfigure([UPSTREAM])
         self.sent: list[Ticket] = []
         self.running = [self.submit(f"running-{n}") for n in range(own)]
         self.hear(running=PLACES - own)
         others = {RANK: (entries - 1) * requests} if entries > 1 else {}
-        self.line.peers = PeersShare(waiting=others, entries=entries - 1)
+        self.line.peer_counts = PeerCounts(waiting=others, entries=entries - 1)
         for number in range(requests if in_line is None else in_line):
             self.submit(f"waiting-{number}")
         self.sent.clear()
@@ -46,14 +46,14 @@
             rank=RANK,
             prompt_tokens=100,
             answer_tokens=10,
-            first_s=0.0,
-            quiet_since_s=0.0,
+            first_arrival_s=0.0,
+            idle_since_s=0.0,
             deadline_s=60.0,
             target_s=60.0,
             patience_s=60.0,
-            returned=False,
+            resubmitted=False,
             may_wait=may_wait,
-            decided=lambda decision: self._decided(ticket, decision),
+            on_decision=lambda decision: self._decided(ticket, decision),
         )
         self.line.submit(ticket, 0.0)
         return ticket
@@ -64,7 +64,7 @@
 
     def hear(self, *, running: int) -> None:
         """Learn how many requests of the other entries run at the upstream."""
-        self.line.pool.refresh_peers({"u": Running(requests=running)})
+        self.line.pool.update_peer_loads({"u": Load(requests=running)})
 
 
 def lines(context, seed: int, own: int = 0) -> list[Waiting]:
@@ -88,7 +88,7 @@
         waiting = lines(context, seed)
         for each in waiting:
             each.hear(running=running)
-            each.line.serve(0.1)
+            each.line.dispatch_waiting(0.1)
         context.sent.append(sum(len(each.sent) for each in waiting))
 
 
@@ -105,7 +105,7 @@
 @when("a request of one of them ends there")
 def step_own_ends(context):
     context.entry = lines(context, seed=1, own=1)[0]
-    context.entry.line.ended(context.entry.running[0], "u", 0.1)
+    context.entry.line.release(context.entry.running[0], "u", 0.1)
 
 
 @then("it sends the next one at once, and only that")
--- a/features/steps/direct_crashes_steps.py
+++ b/features/steps/direct_crashes_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from lavenderspoke.direct.crashes import CrashWatch
+from lavenderspoke.direct.crashes import CrashDetector
 
 SERVICE = "narrative"
 
@@ -10,21 +10,21 @@
 @given("two entries that watch for crashes")
 def step_watches(context):
     context.now_s = 0.0
-    context.seeing = CrashWatch(own_name="entry-1")
-    context.told = CrashWatch(own_name="entry-2")
+    context.seeing = CrashDetector(own_name="entry-1")
+    context.told = CrashDetector(own_name="entry-2")
 
 
 def break_at(context, upstream_id: str, *contents: str) -> None:
     context.now_s += 5.0
     for content in contents:
-        context.seeing.broke(upstream_id, content, context.now_s)
+        context.seeing.record_broken_answer(upstream_id, content, context.now_s)
 
 
 def find_dead(context, upstream_id: str, after_s: float) -> None:
     now_s = context.now_s + after_s
-    evidence = context.seeing.dead(SERVICE, upstream_id, now_s)
+    evidence = context.seeing.record_unreachable(SERVICE, upstream_id, now_s)
     if evidence is not None:
-        context.told.heard(evidence, now_s)
+        context.told.merge(evidence, now_s)
 
 
 @when(
@@ -55,7 +55,7 @@
 
 def refusing(context, content: str) -> list[bool]:
     return [
-        watch.quarantined(SERVICE, content, context.now_s + 1.0)
+        watch.is_quarantined(SERVICE, content, context.now_s + 1.0)
         for watch in (context.seeing, context.told)
     ]
 
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -18,7 +18,7 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.tickets import Dispatch, Refusal, Refuse
 from lavenderspoke.model import Ran
 from lavenderspoke.observing.metrics import Metrics
@@ -39,7 +39,7 @@
         )
 
     def submit(self, ticket) -> None:
-        ticket.decided(Dispatch(upstream=self._upstream))
+        ticket.on_decision(Dispatch(upstream=self._upstream))
 
     def withdraw(self, ticket) -> bool:
         return False
@@ -171,11 +171,11 @@
     def submit(self, ticket) -> None:
         if not self._free:
             refuse = Refuse(reason=Refusal.CROWDED, retry_after_s=1.0)
-            ticket.decided(refuse)
+            ticket.on_decision(refuse)
             return
         upstream = self._free.pop(0)
         self.held.append(upstream)
-        ticket.decided(Dispatch(upstream=upstream))
+        ticket.on_decision(Dispatch(upstream=upstream))
 
     def ended(self, ticket, upstream, accepted, outcome) -> None:
         super().ended(ticket, upstream, accepted, outcome)
@@ -384,7 +384,7 @@
     first = upstream_at(context.first.port, name="first")
     office = Office(
         name="entry-1",
-        whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+        whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=SystemClock(),
         random=Random(1),
--- a/features/steps/direct_limits_steps.py
+++ b/features/steps/direct_limits_steps.py
@@ -79,7 +79,7 @@
         if restart_s is not None and now_s >= restart_s and not lives:
             quotas, lives = [new_quota(context, now_s) for _ in quotas], 1
         for quota in quotas:
-            quota.share(heard=2 if context.hearing else 1, known=2)
+            quota.set_entry_counts(heard=2 if context.hearing else 1, known=2)
         if now_s < begin_s:
             continue
         quota = quotas[tick % 2]
@@ -88,7 +88,7 @@
         if context.hearing and tick % round(TOLD_EVERY_S / TICK_S) == 0:
             for index, peer in enumerate(quotas):
                 told = quotas[1 - index].spent()
-                peer.peer_spent("peer", str(lives), told, now_s=now_s)
+                peer.merge_peer_spent("peer", str(lives), told, now_s=now_s)
 
 
 @when("a customer asks {per_s:d} a second for {seconds:d} s, through both of 2 entries")
@@ -215,11 +215,11 @@
 def step_starts_beside(context, per_s, seconds):
     context.start_s = float(seconds)
     context.quota = new_quota(context, context.start_s)
-    context.quota.share(heard=2, known=2)
+    context.quota.set_entry_counts(heard=2, known=2)
     for told_s in (seconds, seconds + 1):
         told = float(per_s * told_s)
         spent = {context.customer.name: ((0, told, told),)}
-        context.quota.peer_spent("peer", "a", spent, now_s=float(told_s))
+        context.quota.merge_peer_spent("peer", "a", spent, now_s=float(told_s))
 
 
 @then("{after_s:d} s after its start a request of {cost:d} passes there")
--- a/features/steps/direct_line_steps.py
+++ b/features/steps/direct_line_steps.py
@@ -7,8 +7,8 @@
 
 from features.linedrive import RANKS, Drive, Request
 from lavenderspoke.direct.catalog import Catalog, Customer
-from lavenderspoke.direct.lengths import Lengths
-from lavenderspoke.direct.scheduler import PeersShare
+from lavenderspoke.direct.lengths import AnswerLengths
+from lavenderspoke.direct.scheduler import PeerCounts
 from lavenderspoke.direct.tickets import Dispatch, Refusal, Refuse
 
 
@@ -26,7 +26,7 @@
     # The lower rank holds more than what it is guaranteed.
     for _ in range(6):
         context.drive.ticket(rank=RANKS["lowest"])
-    context.drive.peers = PeersShare(waiting={RANKS["highest"]: count}, entries=1)
+    context.drive.peers = PeerCounts(waiting={RANKS["highest"]: count}, entries=1)
     context.drive.scheduler.tick(0.0)
 
 
@@ -78,11 +78,11 @@
 
 @when("{count:d} requests of a rank came that say nothing of their length")
 def step_without_length(context, count):
-    lengths = Lengths()
+    lengths = AnswerLengths()
     context.counted_long = []
     for _ in range(count):
         context.counted_long.append(lengths.is_long(0))
-        lengths.came(0)
+        lengths.record_arrival(0)
 
 
 @then("none of them counted as long")
@@ -133,8 +133,8 @@
     drive = context.drive
     running, _ = drive.ticket()
     _, context.newcomer = drive.ticket()
-    _, context.returned = drive.ticket(returned=True)
-    drive.line.ended(running, "u0", drive.now_s)
+    _, context.returned = drive.ticket(resubmitted=True)
+    drive.line.release(running, "u0", drive.now_s)
 
 
 @then("the one that came back goes next")
@@ -165,8 +165,8 @@
 @when("a request comes whose caller has seen nothing for as long as it waits")
 def step_caller_waited(context):
     drive = context.drive
-    quiet_since_s = drive.now_s - 2.0
-    _, context.decisions = drive.ticket(quiet_since_s=quiet_since_s, patience_s=2.0)
+    idle_since_s = drive.now_s - 2.0
+    _, context.decisions = drive.ticket(idle_since_s=idle_since_s, patience_s=2.0)
 
 
 @when("one runs for {seconds:g} s, and another one waits meanwhile")
@@ -174,7 +174,7 @@
     drive = context.drive
     running, _ = drive.ticket()
     _, context.decisions = drive.ticket(deadline_s=60.0, patience_s=60.0)
-    drive.line.ended(running, "u0", drive.now_s + seconds)
+    drive.line.release(running, "u0", drive.now_s + seconds)
 
 
 @then("the one that waited runs")
@@ -204,7 +204,7 @@
 @given("the first takes {first:d} ms a step and the second {second:d} ms")
 def step_paces(context, first, second):
     for upstream_id, pace_ms in (("u0", first), ("u1", second)):
-        context.drive.line.pool.seat(upstream_id).health.stepped(pace_ms / 1000)
+        context.drive.line.pool.state_of(upstream_id).health.record_step(pace_ms / 1000)
 
 
 @when("the second is taken, and a long prompt and a short one come")
@@ -220,7 +220,7 @@
     (decision,) = context.short
     assert decision.upstream.upstream_id == "u0"
     assert context.long == []
-    context.drive.line.ended(context.running, "u1", context.drive.now_s)
+    context.drive.line.release(context.running, "u1", context.drive.now_s)
     (decision,) = context.long
     assert decision.upstream.upstream_id == "u1"
 
@@ -233,9 +233,9 @@
         (decision,) = decisions
         upstream_id = decision.upstream.upstream_id
         steps = tokens / pace + 1
-        drive.now_s += drive.line.pool.seat(upstream_id).pace_s() * steps
-        drive.line.began(ticket, upstream_id, drive.now_s)
-        drive.line.ended(ticket, upstream_id, drive.now_s)
+        drive.now_s += drive.line.pool.state_of(upstream_id).step_s() * steps
+        drive.line.record_first_event(ticket, upstream_id, drive.now_s)
+        drive.line.release(ticket, upstream_id, drive.now_s)
     context.pace = pace
 
 
@@ -244,7 +244,7 @@
     "of that pace"
 )
 def step_expected(context, tokens, part):
-    learned = context.drive.line.pool.reading.tokens_per_step
+    learned = context.drive.line.pool.prefill_rate.tokens_per_step
     assert abs(learned - context.pace) <= context.pace * part / 100, learned
 
 
@@ -272,8 +272,8 @@
 
 @when("the upstream can't be reached")
 def step_unreachable(context):
-    seat = context.drive.line.pool.seat("u0")
-    seat.health.unreachable(context.drive.now_s)
+    seat = context.drive.line.pool.state_of("u0")
+    seat.health.record_unreachable(context.drive.now_s)
 
 
 @then("nothing is sent there for a while, and then one request at a time")
@@ -290,16 +290,16 @@
 @when("that one is answered")
 def step_answered(context):
     drive = context.drive
-    seat = drive.line.pool.seat("u0")
-    seat.health.succeeded()
-    seat.own.clear()
+    seat = drive.line.pool.state_of("u0")
+    seat.health.record_success()
+    seat.own_requests.clear()
     drive.run(0.1)
 
 
 @then("it takes as many as it has places again")
 def step_all_again(context):
-    assert len(context.drive.line.pool.seat("u0").own) == 2
-    assert context.drive.line.pool.room(context.drive.now_s) == 2
+    assert len(context.drive.line.pool.state_of("u0").own_requests) == 2
+    assert context.drive.line.pool.free_slots(context.drive.now_s) == 2
 
 
 @when("{count:d} requests with {left_s:f} s left come at once")
@@ -358,7 +358,7 @@
 def step_found_others(context, count):
     context.gone = {f"u{n}" for n in range(count)}
     for upstream_id in context.gone:
-        context.drive.line.pool.gone(upstream_id, context.drive.now_s)
+        context.drive.line.pool.evict(upstream_id, context.drive.now_s)
 
 
 @when("{count:d} requests come, one each {every_ms:d} ms")
@@ -369,7 +369,7 @@
         upstream_id = decision.upstream.upstream_id
         context.sent_to.add(upstream_id)
         context.drive.run(every_ms / 1000.0)
-        context.drive.line.ended(ticket, upstream_id, context.drive.now_s)
+        context.drive.line.release(ticket, upstream_id, context.drive.now_s)
 
 
 @when(
@@ -393,13 +393,13 @@
 @given("one of them is faster than all others")
 def step_one_faster(context):
     for number, upstream in enumerate(context.drive.upstreams):
-        seat = context.drive.line.pool.seat(upstream.upstream_id)
-        seat.health.stepped(0.005 if number == 7 else 0.02)
+        seat = context.drive.line.pool.state_of(upstream.upstream_id)
+        seat.health.record_step(0.005 if number == 7 else 0.02)
 
 
 @when("{count:d} entries that hear of each other {age_s:g} s late send a request each")
 def step_entries_choose(context, count, age_s):
-    context.drive.peers = PeersShare(entries=count - 1, age_s=age_s)
+    context.drive.peers = PeerCounts(entries=count - 1, age_s=age_s)
     context.drive.scheduler.tick(0.0)
     context.chosen = Counter()
     for _ in range(count):
@@ -408,7 +408,7 @@
         ticket, (decision,) = context.drive.ticket()
         context.chosen[decision.upstream.upstream_id] += 1
         upstream_id = decision.upstream.upstream_id
-        context.drive.line.ended(ticket, upstream_id, context.drive.now_s)
+        context.drive.line.release(ticket, upstream_id, context.drive.now_s)
 
 
 @then("no upstream gets more of them than it has places")
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -120,7 +120,7 @@
     fleet = context.fleet
     fleet.run(seconds)
     office = fleet.entries["entry-5"].office
-    office._verdicts.ended(UPSTREAM, REQUEST, Outcome.MISDIRECTED, fleet.now_s)
+    office._verdicts.record_attempt(UPSTREAM, REQUEST, Outcome.MISDIRECTED, fleet.now_s)
 
 
 @then("none of the entries sends a request there")
@@ -137,7 +137,9 @@
     fleet.run(seconds)
     for number in {first, second}:
         office = fleet.entries[f"entry-{number}"].office
-        office._verdicts.ended(UPSTREAM, REQUEST, Outcome.UNREACHABLE, fleet.now_s)
+        office._verdicts.record_attempt(
+            UPSTREAM, REQUEST, Outcome.UNREACHABLE, fleet.now_s
+        )
 
 
 def senders(context) -> set[str]:
@@ -145,7 +147,7 @@
     sending = set()
     for name, entry in context.fleet.entries.items():
         begin_request(entry, 1)
-        if entry.office._scheduler.line(SERVICE).pool.running():
+        if entry.office._scheduler.queue(SERVICE).pool.own_loads():
             sending.add(name)
     return sending
 
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -17,11 +17,11 @@
 from lavenderspoke.direct.catalog import Catalog, Customer
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.peerlink import PeerLink
 from lavenderspoke.direct.quota import Tolerance
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
+from lavenderspoke.direct.startuphold import StartupHold
 from lavenderspoke.http.server import HttpServer
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
@@ -225,8 +225,8 @@
 def step_started(context):
     context.clock = StepClock()
     context.known_from_s = float("inf")
-    context.opening = Opening(
-        known=lambda: context.clock.monotonic_s() >= context.known_from_s,
+    context.opening = StartupHold(
+        is_ready=lambda: context.clock.monotonic_s() >= context.known_from_s,
         clock=context.clock,
     )
 
@@ -284,7 +284,7 @@
     context.offices = {
         f"entry-{number}": Office(
             name=f"entry-{number}",
-            whereabouts=Whereabouts(address=f"tcp://10.0.0.{number}:1"),
+            whereabouts=EntryLocation(address=f"tcp://10.0.0.{number}:1"),
             bounds=Bounds(quota_tolerance=tolerance),
             clock=context.clock,
             random=Random(number),
@@ -293,7 +293,7 @@
         for number in range(count)
     }
     catalog = Catalog(version=1, routes=(), services={}, customers=(context.customer,))
-    entries = {name: Whereabouts(address=f"tcp://{name}") for name in context.offices}
+    entries = {name: EntryLocation(address=f"tcp://{name}") for name in context.offices}
     for office in context.offices.values():
         office.catalog_changed(catalog)
         office.peers_listed(entries)
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -12,7 +12,7 @@
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.desk import Outcome
 from lavenderspoke.direct.messages import SharedState
-from lavenderspoke.direct.scheduler import Line, Scheduler
+from lavenderspoke.direct.scheduler import Scheduler, ServiceQueue
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 from lavenderspoke.model import InstanceId
 
@@ -36,7 +36,7 @@
     repeatable_part: float = 0.2
     sent_late: set[str] = attrs.field(factory=set)
     scheduler: Scheduler = attrs.field(init=False)
-    line: Line = attrs.field(init=False)
+    line: ServiceQueue = attrs.field(init=False)
     _events: list = attrs.field(factory=list)
     _numbers: itertools.count = attrs.field(factory=itertools.count)
     _random: Random = attrs.field(factory=lambda: Random(5))
@@ -49,7 +49,7 @@
             ),
             0.0,
         )
-        self.line = self.scheduler.line(SERVICE)
+        self.line = self.scheduler.queue(SERVICE)
 
     def play(self, seconds: float, per_s: float, hold_s: float) -> None:
         at_s = 0.0
@@ -71,14 +71,14 @@
             rank=(0, 0),
             prompt_tokens=0,
             answer_tokens=1,
-            first_s=self.now_s,
-            quiet_since_s=self.now_s,
+            first_arrival_s=self.now_s,
+            idle_since_s=self.now_s,
             deadline_s=self.now_s + 2.0,
             target_s=0.4,
             patience_s=2.0,
-            returned=False,
-            repeatable=self._random.random() < self.repeatable_part,
-            decided=lambda decision: self._decided(ticket, decision, hold_s),
+            resubmitted=False,
+            retryable=self._random.random() < self.repeatable_part,
+            on_decision=lambda decision: self._decided(ticket, decision, hold_s),
         )
         self.line.submit(ticket, self.now_s)
 
@@ -99,13 +99,13 @@
         self._at(self.now_s + after_s, lambda: self._ended(ticket, name, is_failure))
 
     def _ended(self, ticket: Ticket, name: str, is_failure: bool) -> None:
-        seat = self.line.pool.seat(name)
+        seat = self.line.pool.state_of(name)
         if is_failure:
-            seat.health.failed()
-            self.line.pool.is_failing(seat, self.now_s)
+            seat.health.record_failure()
+            self.line.pool.eject_if_outlier(seat, self.now_s)
         else:
-            seat.health.succeeded()
-        self.line.ended(ticket, name, self.now_s)
+            seat.health.record_success()
+        self.line.release(ticket, name, self.now_s)
 
 
 @given(
@@ -178,7 +178,7 @@
 
 
 def pool_of(entry: Entry):
-    return entry.office._scheduler.line(SERVICE).pool
+    return entry.office._scheduler.queue(SERVICE).pool
 
 
 def tell_failing(context, *names: str) -> None:
@@ -197,9 +197,9 @@
 
 @when("an upstream has answered the first entry and two others say that it fails")
 def step_say_one(context):
-    health = pool_of(context.entries[0]).seat("u0").health
+    health = pool_of(context.entries[0]).state_of("u0").health
     for _ in range(10):
-        health.succeeded()
+        health.record_success()
     tell_failing(context, "u0")
 
 
@@ -212,7 +212,7 @@
     return [
         name
         for name in ("u0", "u1", "u2")
-        if pool_of(entry).seat(name).health.usable(0, now_s)
+        if pool_of(entry).state_of(name).health.usable(0, now_s)
     ]
 
 
@@ -221,7 +221,7 @@
     office = context.entries[0].office
     request = accepted_request(resumable=False, attempts_max=1)
     for _ in range(5):
-        office._verdicts.ended(upstream_of("u0"), request, Outcome.BROKEN, 0.0)
+        office._verdicts.record_attempt(upstream_of("u0"), request, Outcome.BROKEN, 0.0)
 
 
 @then("the first entry still uses it")
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -16,7 +16,7 @@
 from lavenderspoke.direct.desk import Outcome
 from lavenderspoke.direct.records import KeyedRecord, Records
 from lavenderspoke.direct.rolling import Answer
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.rollouts import Orders, decode_order
@@ -203,7 +203,7 @@
     list_versions(context, OLD, NEW)
     office = context.entry.office
     office.peers_listed(
-        {f"b{n}": Whereabouts(address=f"tcp://b{n}:1") for n in range(count)}
+        {f"b{n}": EntryLocation(address=f"tcp://b{n}:1") for n in range(count)}
     )
     order = Order(service=SERVICE, target=NEW, duration_s=60.0, number=3)
     office.ordered(order)
@@ -219,13 +219,13 @@
         rank=(0, 0),
         prompt_tokens=10,
         answer_tokens=10,
-        first_s=now_s,
-        quiet_since_s=now_s,
+        first_arrival_s=now_s,
+        idle_since_s=now_s,
         deadline_s=now_s + 5.0,
         target_s=1.0,
         patience_s=5.0,
-        returned=False,
-        decided=decided,
+        resubmitted=False,
+        on_decision=decided,
     )
 
 
@@ -280,8 +280,8 @@
 
 @then("no place is taken")
 def step_no_place(context):
-    pool = context.entry.office._scheduler.line(SERVICE).pool
-    assert pool.in_flight() == 0, pool.running()
+    pool = context.entry.office._scheduler.queue(SERVICE).pool
+    assert pool.in_flight() == 0, pool.own_loads()
 
 
 ORDER_RECORD = KeyedRecord(
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -17,11 +17,11 @@
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.messages import DirectMessage
 from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.pool import Demand
+from lavenderspoke.direct.pool import Requirements
 from lavenderspoke.direct.records import KeyedRecord, Records
 from lavenderspoke.direct.relay import Peering, Relay
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.verdicts import RESTART_SETTLED_S
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.feeds import (
@@ -66,8 +66,8 @@
 
 
 def seat(context):
-    line = context.office._scheduler.line(SERVICE)
-    return line.pool.seat(upstream(context).upstream_id)
+    line = context.office._scheduler.queue(SERVICE)
+    return line.pool.state_of(upstream(context).upstream_id)
 
 
 @given('an entry that knows upstream "u" since start {born:d}')
@@ -79,7 +79,7 @@
     context.registry = Registry()
     context.office = Office(
         name="entry-1",
-        whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+        whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=context.clock,
         random=Random(1),
@@ -91,9 +91,9 @@
 @given("it is slow, has failed, and one request runs there")
 def step_learned(context):
     context.before = upstream(context)
-    seat(context).health.stepped(0.9)
-    seat(context).health.unreachable(0.0)
-    seat(context).own["r"] = 100
+    seat(context).health.record_step(0.9)
+    seat(context).health.record_unreachable(0.0)
+    seat(context).own_requests["r"] = 100
 
 
 @when("the upstream's record tells of start {born:d}")
@@ -104,24 +104,24 @@
 @then("the upstream has all its places, no pace and no failure")
 def step_forgotten(context):
     fresh = seat(context)
-    assert fresh.room() == 4
-    assert fresh.health.pace_s is None
+    assert fresh.free_slots() == 4
+    assert fresh.health.step_s is None
     assert fresh.health.failure_share == 0.0
     assert fresh.health.usable(0, 0.0)
 
 
 @then("a request that was at the start before may be sent there")
 def step_may_be_sent(context):
-    demand = Demand(
+    demand = Requirements(
         prompt_tokens=1,
         answer_tokens=1,
-        first_in_s=1.0,
-        left_s=5.0,
+        first_byte_within_s=1.0,
+        remaining_s=5.0,
         excluded={context.before.upstream_id},
     )
-    pool = context.office._scheduler.line(SERVICE).pool
+    pool = context.office._scheduler.queue(SERVICE).pool
     choice = pool.choose(demand, now_s=0.0)
-    assert choice.seat.upstream == upstream(context)
+    assert choice.upstream_state.upstream == upstream(context)
 
 
 @given("a request waits for an answer there")
@@ -158,7 +158,9 @@
 @when('content "{content}" breaks there, and the record tells of start {born:d}')
 def step_crash(context, content, born):
     crashes = context.office._verdicts.crashes
-    crashes.broke(upstream(context).upstream_id, content, context.clock.monotonic_s())
+    crashes.record_broken_answer(
+        upstream(context).upstream_id, content, context.clock.monotonic_s()
+    )
     tell(context, born)
     context.clock.advance(RESTART_SETTLED_S + 0.1)
     context.office.tick()
@@ -167,7 +169,7 @@
 @then('content "{content}" is refused')
 def step_refused(context, content):
     now_s = context.clock.monotonic_s()
-    assert context.office._verdicts.crashes.quarantined(SERVICE, content, now_s)
+    assert context.office._verdicts.crashes.is_quarantined(SERVICE, content, now_s)
 
 
 def starts(registry: Registry) -> list[str]:
@@ -241,7 +243,7 @@
         UpstreamsFeed(drain_s=2.0, on_change=lambda new: None, **common),
         EntriesFeed(
             name="e",
-            whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+            whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
             on_change=lambda new: None,
             **common,
         ),
--- a/lavenderspoke/direct/keptfree.py
+++ b/lavenderspoke/direct/adaptivereserve.py
@@ -5,7 +5,7 @@
 import attrs
 
 # The least part of them that is kept while nobody above waits.
-LEAST_PART = 0.3
+SHARE_MIN = 0.3
 # By how much the part grows in a second in which somebody above waits, and shrinks in
 # one in which nobody does: a burst finds all of them kept within half a second, and
 # they are given to lower ranks again only after seconds without a wait.
@@ -19,27 +19,27 @@
     at_s: float = 0.0
 
 
-class KeptFree:
+class AdaptiveReserve:
     """The part that is needed of the places kept free for the ranks above each rank.
 
     How many the highest ranks need follows from how unevenly they come and how soon a
     place comes free, which with a hundred places takes milliseconds and with twenty
     much longer. That is seen from whether they wait.
 
-    >>> kept = KeptFree()
-    >>> kept.look({}, [0, 1], 0.0)
-    >>> kept.look({}, [0, 1], 5.0)
-    >>> kept.part(1)
+    >>> kept = AdaptiveReserve()
+    >>> kept.update({}, [0, 1], 0.0)
+    >>> kept.update({}, [0, 1], 5.0)
+    >>> kept.share(1)
     0.5
-    >>> kept.look({0: 3}, [0, 1], 5.25)
-    >>> kept.part(1)
+    >>> kept.update({0: 3}, [0, 1], 5.25)
+    >>> kept.share(1)
     1.0
     """
 
     def __init__(self):
         self._parts: dict = {}
 
-    def look(self, waiting: Iterable, present: Iterable, now_s: float) -> None:
+    def update(self, waiting: Iterable, present: Iterable, now_s: float) -> None:
         """Follow who waits; ranks are given as they compare, the smallest first."""
         highest = min(waiting, default=None)
         for rank in present:
@@ -47,10 +47,10 @@
             is_short = highest is not None and highest < rank
             per_s = GROWS_PER_S if is_short else -SHRINKS_PER_S
             value = part.value + per_s * (now_s - part.at_s)
-            part.value = min(1.0, max(LEAST_PART, value))
+            part.value = min(1.0, max(SHARE_MIN, value))
             part.at_s = now_s
 
-    def part(self, rank) -> float:
+    def share(self, rank) -> float:
         """Return the part to keep towards requests of a rank, from 0 to 1."""
         part = self._parts.get(rank)
         return 1.0 if part is None else part.value
--- a/lavenderspoke/direct/answers.py
+++ b/lavenderspoke/direct/answers.py
@@ -22,13 +22,13 @@
     if outcome in NOT_ANSWERED:
         return None
     if outcome is Outcome.LEFT:
-        waited = _until_first(ticket, now_s) if ticket.began_s is None else {}
+        waited = _until_first(ticket, now_s) if ticket.first_event_s is None else {}
         return Answer(route=route.name, durations_s=waited, is_given_up=True)
     return Answer(
         route=route.name,
         is_bad=outcome in BAD,
         durations_s=_durations(ticket, route, outcome, now_s),
-        whole_s=now_s - ticket.started_s,
+        whole_s=now_s - ticket.sent_s,
     )
 
 
@@ -38,18 +38,18 @@
     if outcome is not Outcome.ANSWERED:
         return {}
     if not route.stream:
-        return {Measure.WHOLE: now_s - ticket.started_s}
-    if ticket.began_s is None:
+        return {Measure.WHOLE: now_s - ticket.sent_s}
+    if ticket.first_event_s is None:
         return {}
-    durations = _until_first(ticket, ticket.began_s)
+    durations = _until_first(ticket, ticket.first_event_s)
     if ticket.events > 1:
-        durations[Measure.EVENT] = (now_s - ticket.began_s) / (ticket.events - 1)
+        durations[Measure.EVENT] = (now_s - ticket.first_event_s) / (ticket.events - 1)
     return durations
 
 
 def _until_first(ticket: Ticket, at_s: float) -> dict[Measure, float]:
-    if ticket.expected_first_steps <= 0.0:
+    if ticket.expected_first_byte_steps <= 0.0:
         return {}
-    first_s = at_s - ticket.started_s
-    step_s = first_s / ticket.expected_first_steps
+    first_s = at_s - ticket.sent_s
+    step_s = first_s / ticket.expected_first_byte_steps
     return {Measure.FIRST: first_s, Measure.STEP: step_s}
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -19,8 +19,8 @@
 from lavenderspoke.direct.handling import Handling
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.refusals import not_run
+from lavenderspoke.direct.startuphold import StartupHold
 from lavenderspoke.http import problempage
 from lavenderspoke.http.callerrequest import StartResponse, caller_request
 from lavenderspoke.http.callerwatch import CallerWatch
@@ -74,7 +74,7 @@
     def __init__(
         self,
         *,
-        opening: Opening,
+        opening: StartupHold,
         in_force: InForce,
         office: Office,
         dialect: Dialect,
--- a/lavenderspoke/direct/crashes.py
+++ b/lavenderspoke/direct/crashes.py
@@ -18,7 +18,7 @@
     at_s: float
 
 
-class CrashWatch:
+class CrashDetector:
     """The crashes that an entry has seen or was told of.
 
     A broken answer alone proves nothing, since connections are reset and
@@ -31,12 +31,14 @@
         self._ledgers: dict[str, CrashLedger] = {}
         self._broken: dict[str, list[_Break]] = {}
 
-    def broke(self, upstream_id: str, fingerprint: str, now_s: float) -> None:
+    def record_broken_answer(
+        self, upstream_id: str, fingerprint: str, now_s: float
+    ) -> None:
         """Note an answer that broke off."""
         kept = [b for b in self._broken.get(upstream_id, []) if _recent(b, now_s)]
         self._broken[upstream_id] = kept + [_Break(fingerprint=fingerprint, at_s=now_s)]
 
-    def dead(
+    def record_unreachable(
         self, service: str, upstream_id: str, now_s: float
     ) -> CrashEvidence | None:
         """Note that an upstream refuses connections; return evidence to share."""
@@ -50,18 +52,18 @@
             crash_id=f"{upstream_id}/{self._own_name}",
             fingerprints=tuple(sorted(fingerprints)),
         )
-        self.heard(evidence, now_s)
+        self.merge(evidence, now_s)
         return evidence
 
-    def heard(self, evidence: CrashEvidence, now_s: float) -> None:
+    def merge(self, evidence: CrashEvidence, now_s: float) -> None:
         """Take in a crash that this or another entry saw."""
         self._ledger(evidence.service).crashed(evidence, now_s)
 
-    def answered(self, service: str, fingerprint: str) -> None:
+    def record_answer(self, service: str, fingerprint: str) -> None:
         """Note that an upstream answered this content whole."""
         self._ledger(service).answered(fingerprint)
 
-    def quarantined(self, service: str, fingerprint: str, now_s: float) -> bool:
+    def is_quarantined(self, service: str, fingerprint: str, now_s: float) -> bool:
         """Return whether this content is to be refused."""
         return self._ledger(service).quarantined(fingerprint, now_s)
 
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -18,12 +18,12 @@
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.messages import RecordsMessage
 from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.peerlink import Link, PeerLink
 from lavenderspoke.direct.readiness import ReadinessServer
 from lavenderspoke.direct.server import CallerPart
 from lavenderspoke.direct.settings import KEY_MARGIN_S, Bounds, DirectSettings
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
+from lavenderspoke.direct.startuphold import StartupHold
 from lavenderspoke.http.callerwatch import CallerWatch
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
@@ -75,7 +75,7 @@
         self.clock = clock
         self.metrics = Metrics()
         self.me = InstanceId(name=settings.name, incarnation=uuid.uuid4().hex)
-        self.whereabouts = Whereabouts(
+        self.whereabouts = EntryLocation(
             address=f"tcp://{settings.peers.host}:{settings.peers.port}",
             data_centre=settings.data_centre,
         )
@@ -92,7 +92,7 @@
             metrics=self.metrics,
         )
         self._watch = CallerWatch()
-        self._opening = Opening(known=self._knows_enough, clock=clock)
+        self._opening = StartupHold(is_ready=self._knows_enough, clock=clock)
         self._app = DirectApp(
             opening=self._opening,
             in_force=self.in_force,
--- a/lavenderspoke/direct/writing.py
+++ b/lavenderspoke/direct/decoderate.py
@@ -14,16 +14,16 @@
 
 
 @attrs.define(kw_only=True)
-class WritingPace:
+class DecodeRate:
     """Tokens of an answer that are written between two events of a stream.
 
     Learned from whole streams: what was expected of each against the events that it
     had. Where callers expect too much or too little throughout, that is learned with
     it, and a time that follows from expected tokens is right all the same.
 
-    >>> pace = WritingPace()
+    >>> pace = DecodeRate()
     >>> for _ in range(20):
-    ...     pace.wrote(tokens=400, steps=50)
+    ...     pace.record(tokens=400, steps=50)
     >>> pace.tokens_per_step
     8.0
     """
@@ -39,7 +39,7 @@
         least, most = TOKENS_PER_STEP_RANGE
         return min(max(self._tokens / self._steps, least), most)
 
-    def wrote(self, *, tokens: int, steps: int) -> None:
+    def record(self, *, tokens: int, steps: int) -> None:
         """Count a whole stream of so many events, of which so much was expected."""
         if tokens <= 0:
             return
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -189,16 +189,16 @@
             rank=accepted.rank,
             prompt_tokens=accepted.head.prompt_tokens or 0,
             answer_tokens=accepted.head.answer_tokens,
-            first_s=accepted.first_s,
-            quiet_since_s=self._quiet_since_s,
+            first_arrival_s=accepted.first_s,
+            idle_since_s=self._quiet_since_s,
             deadline_s=accepted.until_s,
             target_s=accepted.route.target_s,
             patience_s=accepted.route.patience_s,
-            returned=accepted.returned or self._may_have_run or bool(self._tried),
-            decided=self._decide,
+            resubmitted=accepted.returned or self._may_have_run or bool(self._tried),
+            on_decision=self._decide,
             excluded=self._tried | self.relocation.declined,
             may_wait=may_wait,
-            repeatable=self._may_run_again(uncounted=1),
+            retryable=self._may_run_again(uncounted=1),
         )
         with self._lock:
             self._decided.clear()
@@ -464,7 +464,7 @@
         left_s = max(0.0, self._left_s())
         if not self._may_move():
             return left_s
-        first_s = self._current.ticket.expected_first_s * SILENCE_TIMES
+        first_s = self._current.ticket.expected_first_byte_s * SILENCE_TIMES
         return min(left_s, max(SILENCE_MIN_S, self.accepted.route.target_s, first_s))
 
     def _on_silence(self) -> float:
--- a/lavenderspoke/direct/health.py
+++ b/lavenderspoke/direct/health.py
@@ -47,81 +47,81 @@
     """
 
     failure_share: float = 0.0
-    pace_s: float | None = None
-    failures_in_row: int = 0
-    failed_in_row: int = 0
+    step_s: float | None = None
+    consecutive_unreachable: int = 0
+    consecutive_failures: int = 0
     outcomes: int = 0
-    is_on_trial: bool = False
-    trials: int = 0
+    is_ejected: bool = False
+    ejections: int = 0
     suspended_until_s: float = 0.0
-    told_until_s: float = 0.0
+    reported_until_s: float = 0.0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Count an answer that came whole and was no failure."""
         self.failure_share -= self.failure_share * OUTCOME_WEIGHT
-        self.failures_in_row = self.failed_in_row = 0
+        self.consecutive_unreachable = self.consecutive_failures = 0
         self.outcomes += 1
-        if not self.is_on_trial:
-            self.trials = 0
-        self.is_on_trial = False
-        self.told_until_s = 0.0
+        if not self.is_ejected:
+            self.ejections = 0
+        self.is_ejected = False
+        self.reported_until_s = 0.0
 
-    def broke(self) -> None:
+    def record_broken_connection(self) -> None:
         """Count a connection that broke: the upstream may live.
 
         What runs there breaks together, so that it is no row of failures.
         """
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
-        self.failures_in_row = 0
+        self.consecutive_unreachable = 0
         self.outcomes += 1
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Count an answer that was a failure: the upstream lives."""
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
-        self.failures_in_row = 0
-        self.failed_in_row += 1
+        self.consecutive_unreachable = 0
+        self.consecutive_failures += 1
         self.outcomes += 1
 
-    def leave_alone(self, now_s: float) -> None:
+    def eject(self, now_s: float) -> None:
         """Leave it alone for a while, and then try it by one request at a time."""
-        pause_s = min(FAILING_MIN_S * 2**self.trials, FAILING_MAX_S)
-        self.is_on_trial = True
-        self.trials += 1
+        pause_s = min(FAILING_MIN_S * 2**self.ejections, FAILING_MAX_S)
+        self.is_ejected = True
+        self.ejections += 1
         self.suspended_until_s = max(self.suspended_until_s, now_s + pause_s)
 
-    def may_try(self, *, repeatable: bool, now_s: float) -> bool:
+    def allows_trial(self, *, retryable: bool, now_s: float) -> bool:
         """Return whether such a request may be the first after it was left alone."""
         any_from_s = self.suspended_until_s + REPEATABLE_ONLY_S
-        return self.is_on_trial and (repeatable or now_s >= any_from_s)
+        return self.is_ejected and (retryable or now_s >= any_from_s)
 
-    def seems_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether this entry's own requests fare well there."""
         return self.outcomes >= KNOWN_MIN and self.failure_share < SOUND_SHARE
 
-    def unreachable(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Count a connection that failed, broke or fell silent."""
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
         if now_s < self.suspended_until_s:
             # Requests that broke together are one failure, not several.
             return
-        pause_s = SUSPEND_MIN_S * 2**self.failures_in_row
-        self.failures_in_row += 1
+        pause_s = SUSPEND_MIN_S * 2**self.consecutive_unreachable
+        self.consecutive_unreachable += 1
         self.suspended_until_s = now_s + min(pause_s, SUSPEND_MAX_S)
 
-    def told_unreachable(self, now_s: float) -> None:
+    def suspend_on_reports(self, now_s: float) -> None:
         """Leave it alone for a while, since others couldn't reach it.
 
         Those that found out by themselves try it again after their own pauses, and the
         others needn't.
         """
-        self.told_until_s = now_s + TOLD_S
+        self.reported_until_s = now_s + TOLD_S
 
-    def stepped(self, step_s: float) -> None:
+    def record_step(self, step_s: float) -> None:
         """Count one measured step."""
-        if self.pace_s is None:
-            self.pace_s = step_s
-        weight = FASTER_WEIGHT if step_s < self.pace_s else SLOWER_WEIGHT
-        self.pace_s += (step_s - self.pace_s) * weight
+        if self.step_s is None:
+            self.step_s = step_s
+        weight = FASTER_WEIGHT if step_s < self.step_s else SLOWER_WEIGHT
+        self.step_s += (step_s - self.step_s) * weight
 
     def usable(self, running: int, now_s: float) -> bool:
         """Return whether one more request may be sent, given those running.
@@ -130,6 +130,6 @@
         """
         if now_s < self.suspended_until_s:
             return False
-        if self.failures_in_row or self.is_on_trial:
+        if self.consecutive_unreachable or self.is_ejected:
             return running == 0
-        return now_s >= self.told_until_s
+        return now_s >= self.reported_until_s
--- a/lavenderspoke/direct/lengths.py
+++ b/lavenderspoke/direct/lengths.py
@@ -27,14 +27,14 @@
 
 
 @attrs.define(kw_only=True)
-class Lengths:
+class AnswerLengths:
     """What came and was served of one rank lately.
 
-    >>> lengths = Lengths()
+    >>> lengths = AnswerLengths()
     >>> for tokens in [10] * 18 + [500, 500]:
-    ...     lengths.came(tokens)
-    >>> lengths.served(10)
-    >>> lengths.is_long(500), lengths.is_long(10), lengths.owes_long()
+    ...     lengths.record_arrival(tokens)
+    >>> lengths.record_dispatch(10)
+    >>> lengths.is_long(500), lengths.is_long(10), lengths.is_long_underserved()
     (True, False, True)
     """
 
@@ -42,7 +42,7 @@
     _all: _Counts = attrs.field(factory=_Counts)
     _long: _Counts = attrs.field(factory=_Counts)
 
-    def came(self, tokens: int) -> None:
+    def record_arrival(self, tokens: int) -> None:
         """Count a request that asks for the first time."""
         self._all.fade()
         self._long.fade()
@@ -50,7 +50,7 @@
         self._long.came += self.is_long(tokens)
         self._follow(tokens)
 
-    def served(self, tokens: int) -> None:
+    def record_dispatch(self, tokens: int) -> None:
         """Count a request that was sent to an upstream."""
         self._all.served += 1.0
         self._long.served += self.is_long(tokens)
@@ -59,7 +59,7 @@
         """Return whether an answer is one of the longest of the rank."""
         return tokens > self._long_from_tokens
 
-    def owes_long(self) -> bool:
+    def is_long_underserved(self) -> bool:
         """Return whether long answers are served too rarely."""
         due = SERVED_TIMES * self._all.served * self._long.came
         return self._long.served * self._all.came < due
--- a/lavenderspoke/direct/messages.py
+++ b/lavenderspoke/direct/messages.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from lavenderspoke.direct.usage import Rows
+from lavenderspoke.direct.usage import UsageRows
 from lavenderspoke.model import InstanceId
 from lavenderspoke.poison import CrashEvidence
 
@@ -55,7 +55,7 @@
     running: dict[str, tuple[int, int]] = attrs.field(factory=dict)
     waiting: dict[str, tuple[tuple[int, int, int], ...]] = attrs.field(factory=dict)
     held: dict[str, tuple[tuple[int, int, int], ...]] = attrs.field(factory=dict)
-    spent: dict[str, Rows] = attrs.field(factory=dict)
+    spent: dict[str, UsageRows] = attrs.field(factory=dict)
     rollouts: tuple[RolloutNews, ...] = ()
     refused: tuple[str, ...] = ()
     gone: tuple[str, ...] = ()
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -21,13 +21,17 @@
 from lavenderspoke.direct.quota import SharedQuota
 from lavenderspoke.direct.refusals import not_run
 from lavenderspoke.direct.rolling import Rollouts, Wish
-from lavenderspoke.direct.scheduler import RETRY_AFTER_MIN_S, RETURN_PART, Scheduler
+from lavenderspoke.direct.scheduler import (
+    RETRY_AFTER_MAX_SHARE,
+    RETRY_AFTER_MIN_S,
+    Scheduler,
+)
 from lavenderspoke.direct.settings import RETRY_PART, Bounds
-from lavenderspoke.direct.sharing import Peers, Returns, Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation, Peers, Resubmissions
 from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.direct.tickets import Rank, Ticket
-from lavenderspoke.direct.usage import Rows
-from lavenderspoke.direct.verdicts import Verdicts
+from lavenderspoke.direct.usage import UsageRows
+from lavenderspoke.direct.verdicts import UpstreamMonitor
 from lavenderspoke.model import InstanceId, Ran
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.poison import CrashEvidence
@@ -63,7 +67,7 @@
         self,
         *,
         name: str,
-        whereabouts: Whereabouts,
+        whereabouts: EntryLocation,
         bounds: Bounds,
         clock: Clock,
         random: Random,
@@ -77,11 +81,11 @@
         self._metrics = metrics
         self._lock = threading.RLock()
         self._peers = Peers(own_name=name)
-        self._returns = Returns()
+        self._returns = Resubmissions()
         self._quota = SharedQuota(
             window_s=bounds.quota_window_s, tolerance=bounds.quota_tolerance
         )
-        self._told_spent: dict[str, Rows] = {}
+        self._told_spent: dict[str, UsageRows] = {}
         self._all_spent_s = 0.0
         self._allowances: dict[str, RetryAllowance] = {}
         self._known = 1
@@ -93,12 +97,12 @@
         self._rollouts = Rollouts(random=random, metrics=metrics)
         self._scheduler = Scheduler(
             random=random,
-            peers_running=self._peers.running,
-            peers_share=self._peers.share,
+            peer_loads=self._peers.loads,
+            peer_counts=self._peers.counts,
             access=self._rollouts.access,
             canary=self._rollouts.canary,
         )
-        self._verdicts = Verdicts(
+        self._verdicts = UpstreamMonitor(
             own_name=name, scheduler=self._scheduler, metrics=metrics
         )
 
@@ -117,13 +121,13 @@
             now_s = self._now_s()
             service, fingerprint = accepted.service, accepted.fingerprint
             self._allowance(service).first_try(now_s)
-            if self._verdicts.crashes.quarantined(service, fingerprint, now_s):
+            if self._verdicts.crashes.is_quarantined(service, fingerprint, now_s):
                 return Err(not_run(Reason.CRASHES_UPSTREAMS))
             first_s = self._returns.take(fingerprint, now_s)
             refused = self._spend(accepted, now_s, returned=first_s is not None)
             if refused is not None:
                 # It is told when to come back, so it counts as one that did.
-                self._returns.refused(fingerprint, first_s or accepted.first_s)
+                self._returns.record_refusal(fingerprint, first_s or accepted.first_s)
                 return Err(refused)
         if first_s is None:
             return Ok(accepted)
@@ -137,10 +141,12 @@
             return None
         cost = customer.cost(accepted.head.tokens)
         rank = accepted.route.rank
-        if self._quota.spend(customer, cost, rank=rank, now_s=now_s, returned=returned):
+        if self._quota.spend(
+            customer, cost, rank=rank, now_s=now_s, resubmitted=returned
+        ):
             return None
         wait_s = self._quota.wait_s(customer, cost, rank=rank, now_s=now_s)
-        latest_s = max(0.0, (accepted.until_s - now_s) * RETURN_PART)
+        latest_s = max(0.0, (accepted.until_s - now_s) * RETRY_AFTER_MAX_SHARE)
         after_s = min(max(RETRY_AFTER_MIN_S, wait_s), LIMIT_WAIT_MAX_S, latest_s)
         detail = self._quota.explain(customer, cost, rank=rank, now_s=now_s)
         return not_run(Reason.CUSTOMER_LIMIT, detail, after_s)
@@ -148,7 +154,7 @@
     def refused(self, accepted: Accepted, *, ran: Ran) -> None:
         """Note a request that got no answer from an upstream."""
         with self._lock:
-            self._returns.refused(accepted.fingerprint, accepted.first_s)
+            self._returns.record_refusal(accepted.fingerprint, accepted.first_s)
             customer = accepted.customer
             if ran is Ran.NO and customer is not None:
                 cost = customer.cost(accepted.head.tokens)
@@ -159,16 +165,18 @@
 
     def submit(self, ticket: Ticket) -> None:
         with self._lock:
-            self._scheduler.line(ticket.service).submit(ticket, self._now_s())
+            self._scheduler.queue(ticket.service).submit(ticket, self._now_s())
 
     def withdraw(self, ticket: Ticket) -> bool:
         with self._lock:
-            return self._scheduler.line(ticket.service).withdraw(ticket)
+            return self._scheduler.queue(ticket.service).withdraw(ticket)
 
     def began(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
-            line = self._scheduler.line(ticket.service)
-            late_s = line.began(ticket, upstream.upstream_id, self._now_s())
+            line = self._scheduler.queue(ticket.service)
+            late_s = line.record_first_event(
+                ticket, upstream.upstream_id, self._now_s()
+            )
         name = FIRST_LATER if late_s > 0.0 else FIRST_EARLIER
         tier = str(ticket.rank[1])
         self._metrics.observe(name, ticket.service, tier, abs(late_s))
@@ -179,17 +187,17 @@
         self._metrics.count(ATTEMPTS, outcome.value)
         with self._lock:
             now_s = self._now_s()
-            self._verdicts.ended(upstream, accepted, outcome, now_s)
-            line = self._scheduler.line(ticket.service)
-            line.ended(ticket, upstream.upstream_id, now_s)
+            self._verdicts.record_attempt(upstream, accepted, outcome, now_s)
+            line = self._scheduler.queue(ticket.service)
+            line.release(ticket, upstream.upstream_id, now_s)
             answer = answer_of(ticket, accepted.route, outcome, now_s)
             if answer is not None:
                 self._rollouts.answered(upstream, answer)
 
     def give_back(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
-            line = self._scheduler.line(ticket.service)
-            line.give_back(ticket, upstream.upstream_id, self._now_s())
+            line = self._scheduler.queue(ticket.service)
+            line.release_unused(ticket, upstream.upstream_id, self._now_s())
 
     def connections(self, upstream: Upstream) -> ConnectionPool:
         with self._lock:
@@ -218,15 +226,15 @@
     def written(self, ticket: Ticket, steps: int) -> None:
         with self._lock:
             ticket.events = steps
-            pool = self._scheduler.line(ticket.service).pool
-            pool.writing.wrote(tokens=ticket.answer_tokens, steps=steps)
+            pool = self._scheduler.queue(ticket.service).pool
+            pool.decode_rate.record(tokens=ticket.answer_tokens, steps=steps)
 
     def stepped(self, upstream: Upstream, step_s: float) -> None:
         with self._lock:
-            line = self._scheduler.line(upstream.service)
-            seat = line.pool.seat(upstream.upstream_id)
+            line = self._scheduler.queue(upstream.service)
+            seat = line.pool.state_of(upstream.upstream_id)
             if seat is not None:
-                seat.health.stepped(step_s)
+                seat.health.record_step(step_s)
 
     # Upstreams and catalog
 
@@ -241,7 +249,7 @@
             now_s = self._now_s()
             self._rollouts.listed(upstreams, now_s)
             self._scheduler.reconfigure(upstreams, now_s)
-            restarted = self._verdicts.listed(upstreams, now_s)
+            restarted = self._verdicts.update_listed(upstreams, now_s)
             listed = {each.upstream_id for each in upstreams}
             left = [each for each in self._connections if each not in listed]
             pools = {each: self._connections.pop(each) for each in left}
@@ -264,13 +272,13 @@
         """Put changed bounds in force."""
         with self._lock:
             self.bounds = bounds
-            self._quota.count_over(bounds.quota_window_s, bounds.quota_tolerance)
+            self._quota.set_window(bounds.quota_window_s, bounds.quota_tolerance)
             self._share_retries()
 
     def has_upstreams(self) -> bool:
         """Return whether any upstream is known to which a route leads."""
         with self._lock:
-            lines = self._scheduler.lines()
+            lines = self._scheduler.queues()
             return any(lines[name].pool.slots() for name in self._services & set(lines))
 
     # Roll-outs
@@ -279,26 +287,26 @@
         """Take over an operator's order to move a service to another version."""
         with self._lock:
             self._rollouts.ordered(order, self._now_s())
-            self._scheduler.rolled()
+            self._scheduler.rollouts_changed()
 
     def order_withdrawn(self, service: str, number: int) -> None:
         """Stop the roll-out that was ordered before record `number`."""
         with self._lock:
             self._rollouts.withdrawn(service, number, self._now_s())
-            self._scheduler.rolled()
+            self._scheduler.rollouts_changed()
 
     def orders_read(self, sent_s: float) -> None:
         """Note that a read sent then has shown all orders."""
         with self._lock:
             self._orders_read_s = max(self._orders_read_s, sent_s)
             if self._rollouts.orders_read(sent_s):
-                self._scheduler.rolled()
+                self._scheduler.rollouts_changed()
 
     def rollout_stored(self, order: Order, stage: Stage, elapsed_s: float) -> None:
         """Take over what the store says of a roll-out that was ordered so long ago."""
         with self._lock:
             self._rollouts.stored(order, stage, elapsed_s, self._now_s())
-            self._scheduler.rolled()
+            self._scheduler.rollouts_changed()
 
     def rollout_wishes(self) -> list[Wish]:
         """Return the roll-outs whose record is for this entry to write."""
@@ -310,12 +318,12 @@
 
     # Peers
 
-    def peers_listed(self, entries: dict[str, Whereabouts]) -> None:
+    def peers_listed(self, entries: dict[str, EntryLocation]) -> None:
         """Take over the entries that the platform's store names."""
         with self._lock:
             now_s = self._now_s()
             self._peers_listed = True
-            self._peers.listed(entries, now_s)
+            self._peers.update_listed(entries, now_s)
             self._share(now_s)
 
     def knows_peers(self) -> bool:
@@ -338,7 +346,7 @@
     def heard_of_crash(self, evidence: CrashEvidence) -> None:
         """Take in a crash that another entry saw."""
         with self._lock:
-            self._verdicts.crashes.heard(evidence, self._now_s())
+            self._verdicts.crashes.merge(evidence, self._now_s())
 
     def tick(self) -> None:
         """Serve the lines again and follow what the peers said."""
@@ -346,14 +354,14 @@
             now_s = self._now_s()
             self._share(now_s)
             self._verdicts.tick(now_s)
-            self._peers.drop_silent(now_s)
+            self._peers.drop_stale(now_s)
             self._scheduler.tick(now_s)
             self._roll(now_s)
-            lines = self._scheduler.lines().values()
-            running = sum(line.pool.peers_running() for line in lines)
+            lines = self._scheduler.queues().values()
+            running = sum(line.pool.peer_requests() for line in lines)
         self._metrics.gauge(PEERS_RUNNING, running)
 
-    def known_peers(self) -> dict[str, Whereabouts]:
+    def known_peers(self) -> dict[str, EntryLocation]:
         """Return the other entries that may be alive, by name."""
         with self._lock:
             return self._peers.known(self._now_s())
@@ -366,25 +374,25 @@
     def speaking_names(self) -> list[str]:
         """Return the names of those that told this entry something just now."""
         with self._lock:
-            return self._peers.speaking_names(self._now_s())
+            return self._peers.directly_heard_names(self._now_s())
 
     def gone_peers(self) -> list[str]:
         """Forget the entries that are gone and return their addresses."""
         with self._lock:
-            return self._peers.gone(self._now_s())
+            return self._peers.remove_expired(self._now_s())
 
     def news(self, *, leaving: bool) -> list[SharedState | CrashEvidence]:
         """Return what the other entries are to be told now."""
         with self._lock:
             running, waiting, held = {}, {}, {}
-            for service, line in self._scheduler.lines().items():
-                for upstream_id, each in line.pool.running().items():
+            for service, line in self._scheduler.queues().items():
+                for upstream_id, each in line.pool.own_loads().items():
                     running[upstream_id] = (each.requests, each.prefill_tokens)
                 if rows := line.waiting():
                     waiting[service] = _rows(rows)
                 if rows := line.held():
                     held[service] = _rows(rows)
-            found = self._verdicts.news()
+            found = self._verdicts.take_findings()
             state = SharedState(
                 address=self.whereabouts.address,
                 data_centre=self.whereabouts.data_centre,
@@ -393,13 +401,13 @@
                 held=held,
                 spent=self._spent_news(),
                 rollouts=self._rollouts.news(self._now_s()),
-                refused=self._returns.news(),
+                refused=self._returns.take_unsent(),
                 gone=found.gone,
                 unreached=found.unreached,
                 failing=found.failing,
                 leaving=leaving,
             )
-            evidence = self._verdicts.evidence()
+            evidence = self._verdicts.take_evidence()
         return [state, *evidence]
 
     # Inside
@@ -407,12 +415,12 @@
     def _take_in(
         self, sender: InstanceId, state: SharedState, now_s: float, age_s: float | None
     ) -> bool:
-        if not self._peers.heard(sender, state, now_s, age_s=age_s):
+        if not self._peers.receive(sender, state, now_s, age_s=age_s):
             return False
-        self._returns.heard(state.refused, now_s)
+        self._returns.record_peer_refusals(state.refused, now_s)
         self._rollouts.heard(sender, state.rollouts, now_s)
-        self._verdicts.heard(sender.name, state, now_s)
-        self._quota.peer_spent(
+        self._verdicts.merge_peer_state(sender.name, state, now_s)
+        self._quota.merge_peer_spent(
             sender.name, sender.incarnation, state.spent, now_s=now_s
         )
         return True
@@ -422,12 +430,12 @@
         if not self._rollouts.is_any_running:
             return
         places = {
-            service: line.pool.places()
-            for service, line in self._scheduler.lines().items()
+            service: line.pool.slots_by_version()
+            for service, line in self._scheduler.queues().items()
             if self._rollouts.canary(service) is not None
         }
         if self._rollouts.tick(places, self._surroundings(now_s), now_s):
-            self._scheduler.rolled()
+            self._scheduler.rollouts_changed()
 
     def _surroundings(self, now_s: float) -> Surroundings:
         return Surroundings(
@@ -442,12 +450,12 @@
         """Keep to the part of limits and budgets that is this entry's now."""
         heard, known = self._peers.heard_and_known(now_s)
         alone = now_s < self._alone_until_s
-        self._quota.share(heard=1 if alone else heard, known=known)
+        self._quota.set_entry_counts(heard=1 if alone else heard, known=known)
         if known != self._known:
             self._known = known
             self._share_retries()
 
-    def _spent_news(self) -> dict[str, Rows]:
+    def _spent_news(self) -> dict[str, UsageRows]:
         """Return what customers used in all, of those for which it changed."""
         now_s, before = self._now_s(), self._told_spent
         spent = self._told_spent = self._quota.spent()
--- a/lavenderspoke/direct/outliers.py
+++ b/lavenderspoke/direct/outliers.py
@@ -25,7 +25,7 @@
 
     >>> sound, failing = Health(), Health()
     >>> for _ in range(5):
-    ...     failing.failed()
+    ...     failing.record_failure()
     >>> is_outlier(failing, [sound, sound])
     True
     >>> is_outlier(failing, [failing, failing])
@@ -35,14 +35,14 @@
     """
     if not others:
         return False
-    if health.failed_in_row < IN_ROW_MIN and health.failure_share < SHARE_MIN:
+    if health.consecutive_failures < IN_ROW_MIN and health.failure_share < SHARE_MIN:
         return False
     usual = sum(each.failure_share for each in others) / len(others)
     return health.failure_share >= usual + EXCESS_MIN
 
 
-def may_leave_alone(others: Sequence[Health]) -> bool:
+def may_eject(others: Sequence[Health]) -> bool:
     """Return whether one more may be left alone, so that enough of them stay."""
     allowed = math.ceil((len(others) + 1) * LEFT_ALONE_PART)
-    alone = sum(1 for each in others if each.is_on_trial)
+    alone = sum(1 for each in others if each.is_ejected)
     return bool(others) and alone < allowed
--- a/lavenderspoke/direct/suspicions.py
+++ b/lavenderspoke/direct/peerreports.py
@@ -14,7 +14,7 @@
     at_s: float
 
 
-class Suspicions:
+class PeerReports:
     """What entries told of upstreams that they couldn't reach.
 
     An upstream that lost its power answers nobody. Each of many entries would find that
@@ -23,19 +23,19 @@
     several of one data centre from a cut between two; so two entries of different data
     centres have to say it.
 
-    >>> suspicions = Suspicions()
-    >>> suspicions.told("u", by="a", data_centre="x", now_s=0.0)
+    >>> reports = PeerReports()
+    >>> reports.record("u", by="a", data_centre="x", now_s=0.0)
     False
-    >>> suspicions.told("u", by="b", data_centre="x", now_s=0.1)
+    >>> reports.record("u", by="b", data_centre="x", now_s=0.1)
     False
-    >>> suspicions.told("u", by="c", data_centre="y", now_s=0.2)
+    >>> reports.record("u", by="c", data_centre="y", now_s=0.2)
     True
     """
 
     def __init__(self):
         self._reports: dict[str, list[_Report]] = {}
 
-    def told(
+    def record(
         self, upstream_id: str, *, by: str, data_centre: str, now_s: float
     ) -> bool:
         """Take in a report; return whether the upstream counts as away now."""
@@ -48,7 +48,7 @@
         self._reports[upstream_id] = recent
         return len({each.data_centre for each in recent}) > 1
 
-    def keep(self, upstream_ids: set[str]) -> None:
+    def retain(self, upstream_ids: set[str]) -> None:
         """Forget all other upstreams."""
         for upstream_id in self._reports.keys() - upstream_ids:
             del self._reports[upstream_id]
--- a/lavenderspoke/direct/peertotals.py
+++ b/lavenderspoke/direct/peertotals.py
@@ -8,8 +8,8 @@
 from collections import Counter, defaultdict
 
 from lavenderspoke.direct.messages import SharedState
-from lavenderspoke.direct.pool import Running
-from lavenderspoke.direct.scheduler import PeersShare
+from lavenderspoke.direct.pool import Load
+from lavenderspoke.direct.scheduler import PeerCounts
 from lavenderspoke.direct.tickets import Rank
 
 RankRows = tuple[tuple[int, int, int], ...]
@@ -22,10 +22,10 @@
     >>> totals = PeerTotals()
     >>> totals.put("a", SharedState(address="", running={"u": (2, 900)}))
     >>> totals.put("b", SharedState(address="", running={"u": (1, 0)}))
-    >>> totals.running()["u"].requests
+    >>> totals.loads()["u"].requests
     3
     >>> totals.drop("a")
-    >>> totals.running()["u"].requests
+    >>> totals.loads()["u"].requests
     1
     """
 
@@ -35,7 +35,7 @@
         self._prefill_tokens: Counter[str] = Counter()
         self._waiting: defaultdict[str, Counter[Rank]] = defaultdict(Counter)
         self._held: defaultdict[str, Counter[Rank]] = defaultdict(Counter)
-        self._running: dict[str, Running] | None = {}
+        self._running: dict[str, Load] | None = {}
 
     def names(self) -> list[str]:
         """Return the names of the entries that count."""
@@ -53,20 +53,20 @@
         if state is not None:
             self._add(state, -1)
 
-    def running(self) -> dict[str, Running]:
+    def loads(self) -> dict[str, Load]:
         """Return what runs at each upstream."""
         if self._running is None:
             self._running = {
-                upstream_id: Running(
+                upstream_id: Load(
                     requests=count, prefill_tokens=self._prefill_tokens[upstream_id]
                 )
                 for upstream_id, count in self._requests.items()
             }
         return self._running
 
-    def share(self, service: str, *, age_s: float) -> PeersShare:
+    def counts(self, service: str, *, age_s: float) -> PeerCounts:
         """Return what the entries have of one service, as old as the caller says."""
-        return PeersShare(
+        return PeerCounts(
             waiting=_counts(self._waiting.get(service)),
             held=_counts(self._held.get(service)),
             entries=len(self._states),
--- a/lavenderspoke/direct/reading.py
+++ b/lavenderspoke/direct/prefillrate.py
@@ -14,16 +14,16 @@
 
 
 @attrs.define(kw_only=True)
-class ReadingPace:
+class PrefillRate:
     """Prompt tokens that are read in the time between two events of a stream.
 
     Engines of a service are alike in this even where their speeds differ several
     times: reading and writing slow down together. It is the slope of a line through
     the origin, of tokens over steps, with old points fading.
 
-    >>> pace = ReadingPace()
+    >>> pace = PrefillRate()
     >>> for _ in range(20):
-    ...     pace.read(tokens=5000.0, steps=2.0)
+    ...     pace.record(tokens=5000.0, steps=2.0)
     >>> round(pace.tokens_per_step)
     2500
     """
@@ -40,7 +40,7 @@
         least, most = TOKENS_PER_STEP_RANGE
         return min(max(self._squares / self._products, least), most)
 
-    def read(self, *, tokens: float, steps: float) -> None:
+    def record(self, *, tokens: float, steps: float) -> None:
         """Count a first event that came so many steps after the request was sent."""
         self._tokens = self._tokens * KEPT + tokens
         self._squares = self._squares * KEPT + tokens * tokens
--- a/lavenderspoke/direct/quota.py
+++ b/lavenderspoke/direct/quota.py
@@ -24,7 +24,7 @@
 import attrs
 
 from lavenderspoke.direct.catalog import Customer
-from lavenderspoke.direct.usage import Rows, Usage
+from lavenderspoke.direct.usage import Usage, UsageRows
 
 # What the platform tolerates beyond a limit is shared out so that all entries may be
 # killed at any moment: what they give out all the time, what the bucket's depth may
@@ -89,7 +89,7 @@
         self._usages: dict[str, Usage] = {}
         self._part = 1.0
         self._entries = 1
-        self._heard: dict[tuple[str, str], dict[str, Rows]] = {}
+        self._heard: dict[tuple[str, str], dict[str, UsageRows]] = {}
 
     def reconfigure(self, customers: tuple[Customer, ...], *, now_s: float) -> None:
         """Count for each customer, also for those not seen here yet.
@@ -101,12 +101,12 @@
             if customer.per_s > 0.0:
                 self._usage(customer, now_s)
 
-    def count_over(self, window_s: float, tolerance: Tolerance) -> None:
+    def set_window(self, window_s: float, tolerance: Tolerance) -> None:
         """Count limits over windows of another length from now on."""
         self._window_s = window_s
         self._tolerance = tolerance
 
-    def share(self, *, heard: int, known: int) -> None:
+    def set_entry_counts(self, *, heard: int, known: int) -> None:
         """Set how many of the known entries, this one included, are heard."""
         self._entries = max(1, known)
         self._part = heard / self._entries
@@ -118,7 +118,7 @@
         *,
         rank: int,
         now_s: float,
-        returned: bool = False,
+        resubmitted: bool = False,
     ) -> bool:
         """Count a request, or return False when it exceeds the limit.
 
@@ -127,8 +127,8 @@
         if customer.per_s <= 0.0:
             return True
         usage = self._usage(customer, now_s)
-        if not returned:
-            usage.ask(rank, cost, now_s)
+        if not resubmitted:
+            usage.record_request(rank, cost, now_s)
         if self._over(customer, usage, cost, rank, now_s) > 0.0:
             return False
         if self._is_full_up(customer, usage, rank):
@@ -151,9 +151,9 @@
             return 0.0
         usage = self._usage(customer, now_s)
         over = self._over(customer, usage, cost, rank, now_s)
-        wait_s = usage.frees_s(over, now_s, self._window_s)
+        wait_s = usage.wait_to_free_s(over, now_s, self._window_s)
         if self._is_full_up(customer, usage, rank):
-            excess = usage.level - self._depth(customer, usage, rank)
+            excess = usage.bucket_level - self._depth(customer, usage, rank)
             wait_s = max(wait_s, excess / self._mean_per_s(customer))
         return min(wait_s, self._window_s)
 
@@ -165,17 +165,18 @@
         limit = self._limit(customer, usage, now_s)
         return (
             f"{usage.used():.0f} used in {self._window_s:g} s and {cost:.0f} asked, "
-            f"of {limit:.0f}, {usage.asked_above(rank):.0f} by ranks above; "
-            f"{usage.level:.0f} at once of {self._depth(customer, usage, rank):.0f}; "
+            f"of {limit:.0f}, {usage.requested_above(rank):.0f} by ranks above; "
+            f"{usage.bucket_level:.0f} at once "
+            f"of {self._depth(customer, usage, rank):.0f}; "
             f"{self._part:.2f} of the entries are heard"
         )
 
-    def spent(self) -> dict[str, Rows]:
+    def spent(self) -> dict[str, UsageRows]:
         """Return what this entry has let through since it started, by customer."""
         return {name: usage.totals() for name, usage in self._usages.items()}
 
-    def peer_spent(
-        self, name: str, incarnation: str, spent: dict[str, Rows], *, now_s: float
+    def merge_peer_spent(
+        self, name: str, incarnation: str, spent: dict[str, UsageRows], *, now_s: float
     ) -> None:
         """Take in what a peer has let through since its incarnation started.
 
@@ -186,14 +187,14 @@
             usage = self._usages.get(customer)
             if usage is None:
                 continue
-            usage.pass_time(now_s, self._window_s)
-            if before is None and not usage.is_full(now_s, self._window_s):
+            usage.advance(now_s, self._window_s)
+            if before is None and not usage.covers_window(now_s, self._window_s):
                 # What a peer let through before this entry knew of it is in the
                 # part of the window that counts as used. Added up as if all of it
                 # had just passed, hours of use would close the limit for a window
                 # at every entry that starts.
                 continue
-            usage.add_peer((before or {}).get(customer, ()), rows, now_s)
+            usage.merge_peer((before or {}).get(customer, ()), rows, now_s)
         for key in [each for each in self._heard if each[0] == name]:
             del self._heard[key]
         self._heard[name, incarnation] = (before or {}) | spent
@@ -202,8 +203,8 @@
         usage = self._usages.get(customer.name)
         if usage is None:
             usage = self._usages[customer.name] = Usage(since_s=now_s, at_s=now_s)
-        usage.empties_per_s = self._mean_per_s(customer) * self._part
-        usage.pass_time(now_s, self._window_s)
+        usage.leak_per_s = self._mean_per_s(customer) * self._part
+        usage.advance(now_s, self._window_s)
         return usage
 
     def _over(
@@ -211,19 +212,19 @@
     ) -> float:
         """Return by how much a request exceeds what its rank may use."""
         limit = self._limit(customer, usage, now_s)
-        allowed = max(limit - usage.asked_above(rank), limit * LOWER_PART)
-        over = max(usage.used() - limit, usage.used_from(rank) - allowed) + cost
+        allowed = max(limit - usage.requested_above(rank), limit * LOWER_PART)
+        over = max(usage.used() - limit, usage.used_at_or_below(rank) - allowed) + cost
         return over - min(cost, self._tolerance.of_tokens(customer) * LAST_PART)
 
     def _is_full_up(self, customer: Customer, usage: Usage, rank: int) -> bool:
-        return usage.level >= max(1e-9, self._depth(customer, usage, rank))
+        return usage.bucket_level >= max(1e-9, self._depth(customer, usage, rank))
 
     def _depth(self, customer: Customer, usage: Usage, rank: int) -> float:
         depth = self._whole_depth(customer) * self._part
         own_limit = self._whole(customer) * self._part
         is_near = usage.used() > own_limit * NEAR_LIMIT_PART
-        has_its_part = usage.used_from(rank) > own_limit * LOWER_PART
-        if is_near and has_its_part and usage.asked_above(rank) > 0.0:
+        has_its_part = usage.used_at_or_below(rank) > own_limit * LOWER_PART
+        if is_near and has_its_part and usage.requested_above(rank) > 0.0:
             return depth * LOWER_DEPTH
         return depth
 
@@ -236,7 +237,7 @@
 
     def _limit(self, customer: Customer, usage: Usage, now_s: float) -> float:
         limit = self._steady(customer)
-        if not usage.is_full(now_s, self._window_s):
+        if not usage.covers_window(now_s, self._window_s):
             free = limit * (now_s - usage.since_s) / self._window_s
             tolerated = self._tolerance.of(customer, self._whole(customer))
             limit = min(limit, free + tolerated * START_PART)
--- a/lavenderspoke/direct/rankrates.py
+++ b/lavenderspoke/direct/rankrates.py
@@ -18,16 +18,16 @@
     """The rates of one rank at one entry.
 
     >>> rates = RankRates()
-    >>> rates.arrived(0.0)
+    >>> rates.record_arrival(0.0)
     >>> rates.arrivals_per_s(0.0)
     0.5
     """
 
-    hold_s: float = HOLD_INITIAL_S
+    mean_hold_s: float = HOLD_INITIAL_S
     _per_s: float = 0.0
     _at_s: float = 0.0
 
-    def arrived(self, now_s: float) -> None:
+    def record_arrival(self, now_s: float) -> None:
         """Count an arrival."""
         self._per_s = self.arrivals_per_s(now_s) + 1.0 / ARRIVAL_S
         self._at_s = now_s
@@ -37,6 +37,6 @@
         elapsed_s = max(0.0, now_s - self._at_s)
         return self._per_s * math.exp(-elapsed_s / ARRIVAL_S)
 
-    def held(self, hold_s: float) -> None:
+    def record_hold(self, hold_s: float) -> None:
         """Count a place that was held for that long."""
-        self.hold_s += (hold_s - self.hold_s) * HOLD_WEIGHT
+        self.mean_hold_s += (hold_s - self.mean_hold_s) * HOLD_WEIGHT
--- a/lavenderspoke/direct/scheduler.py
+++ b/lavenderspoke/direct/scheduler.py
@@ -30,15 +30,15 @@
 import attrs
 from sortedcontainers import SortedKeyList
 
+from lavenderspoke.direct.adaptivereserve import AdaptiveReserve
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.keptfree import KeptFree
-from lavenderspoke.direct.lengths import Lengths
+from lavenderspoke.direct.lengths import AnswerLengths
 from lavenderspoke.direct.pool import (
-    Demand,
+    Load,
     Pool,
-    Running,
-    Seat,
-    outlook_at,
+    Requirements,
+    UpstreamState,
+    estimate_latency,
 )
 from lavenderspoke.direct.rankrates import RankRates
 from lavenderspoke.direct.tickets import (
@@ -56,7 +56,7 @@
 # the lowest rank last seconds; with one place in eight free, the highest rank
 # rarely waits for one of them to end. Short ones give their place back in time
 # and leave less free.
-RESERVED = 0.12
+RESERVED_SHARE = 0.12
 # The most that stays free, for however many ranks above. Ranks are customers' times
 # routes', and each place kept free beyond what the highest ones need in a burst is one
 # in which a caller of the lowest could be served.
@@ -67,7 +67,7 @@
 # The part of all places that is guaranteed to the ranks below the highest, shared
 # among them. Just enough that each is served: every place beyond that is taken from
 # the highest rank when it is short.
-GUARANTEED = 0.1
+GUARANTEED_SHARE = 0.1
 # The part of the time it has that a request of the highest rank waits, also when
 # it will be late: with nothing above it, its turn comes.
 HIGHEST_PART = 0.5
@@ -75,12 +75,12 @@
 RETURNED_PART = 0.25
 # A request is refused on arrival when its expected wait is so many times what it
 # may take: the expectation is rough, and waiting on time costs its caller little.
-DOUBT = 2.0
+EXPECTED_WAIT_TOLERANCE = 2.0
 # Time kept, in seconds, between the end of waiting and the deadline: an answer
 # that begins with less left would be cut off.
 SERVICE_MARGIN_S = 0.15
 # Callers come back within this part of the time they have left.
-RETURN_PART = 1 / 3
+RETRY_AFTER_MAX_SHARE = 1 / 3
 RETRY_AFTER_MIN_S = 0.3
 # Returns are spread over this range of the expected wait, so that they don't
 # come as the next burst.
@@ -89,18 +89,18 @@
 PRESENT_S = 5.0
 
 
-def _turn(ticket: Ticket) -> tuple:
+def _priority_key(ticket: Ticket) -> tuple:
     return (
         ticket.rank,
-        ticket.late,
-        not ticket.returned,
+        ticket.is_late,
+        not ticket.resubmitted,
         ticket.answer_tokens,
         ticket.number,
     )
 
 
 @attrs.frozen(kw_only=True)
-class PeersShare:
+class PeerCounts:
     """What the other entries said last of one service, and how many they are.
 
     `age_s` is how old that is on average.
@@ -112,20 +112,20 @@
     age_s: float = 0.0
 
 
-class Line:
+class ServiceQueue:
     """One service's waiting requests and its upstreams."""
 
     def __init__(self, *, pool: Pool, random: Random):
         self.pool = pool
-        self.peers = PeersShare()
+        self.peer_counts = PeerCounts()
         self.canary: CanaryShare | None = None
         self._random = random
-        self._waiting: SortedKeyList = SortedKeyList(key=_turn)
+        self._waiting: SortedKeyList = SortedKeyList(key=_priority_key)
         self._ranks: Counter[Rank] = Counter()
         self._held: Counter[Rank] = Counter()
         self._rates: dict[Rank, RankRates] = {}
-        self._lengths: defaultdict[Rank, Lengths] = defaultdict(Lengths)
-        self._kept_free = KeptFree()
+        self._lengths: defaultdict[Rank, AnswerLengths] = defaultdict(AnswerLengths)
+        self._kept_free = AdaptiveReserve()
         self._seen_s: dict[Rank, float] = {}
         self._at_once: Ticket | None = None
         self._numbers = 0
@@ -142,27 +142,27 @@
         """Decide on a request now or let it wait."""
         self._numbers += 1
         ticket.number = self._numbers
-        ticket.late = now_s >= ticket.on_time_until_s
+        ticket.is_late = now_s >= ticket.on_time_until_s
         self._seen_s[ticket.rank] = now_s
         patience_s = 0.0
         # One that may not wait runs already, and may ask again and again.
         if ticket.may_wait:
-            self._rate(ticket.rank).arrived(now_s)
-            if not ticket.returned:
-                self._lengths[ticket.rank].came(ticket.answer_tokens)
+            self._rate(ticket.rank).record_arrival(now_s)
+            if not ticket.resubmitted:
+                self._lengths[ticket.rank].record_arrival(ticket.answer_tokens)
             patience_s = self._patience_s(ticket, now_s)
         if self._sent_to_canary(ticket, now_s):
             return
         if not self.pool.slots():
-            ticket.decided(self._refusal(ticket, Refusal.NO_UPSTREAM, now_s))
+            ticket.on_decision(self._refusal(ticket, Refusal.NO_UPSTREAM, now_s))
         elif patience_s <= 0.0:
             self._decide_now(ticket, now_s)
-        elif self._wait_s(ticket, now_s) > patience_s * DOUBT:
-            ticket.decided(self._refusal(ticket, Refusal.CROWDED, now_s))
+        elif self._wait_s(ticket, now_s) > patience_s * EXPECTED_WAIT_TOLERANCE:
+            ticket.on_decision(self._refusal(ticket, Refusal.CROWDED, now_s))
         else:
-            ticket.leaves_line_s = now_s + patience_s
+            ticket.waits_until_s = now_s + patience_s
             self._add(ticket)
-            self.serve(now_s)
+            self.dispatch_waiting(now_s)
 
     def _sent_to_canary(self, ticket: Ticket, now_s: float) -> bool:
         """Send a request to a roll-out's target if it should and can go there now."""
@@ -171,7 +171,9 @@
         if not self.canary.wants(ticket.route):
             return False
         seat = self.pool.choose_canary(
-            _demand(ticket, now_s), now_s=now_s, rivals=self._rivals(now_s)
+            _demand(ticket, now_s),
+            now_s=now_s,
+            unseen_requests=self._unseen_requests(now_s),
         )
         if seat is None:
             return False
@@ -180,13 +182,13 @@
 
     def _decide_now(self, ticket: Ticket, now_s: float) -> None:
         """Give a request a place that is free for it, or refuse it."""
-        ticket.leaves_line_s = math.inf
+        ticket.waits_until_s = math.inf
         self._add(ticket)
         self._at_once = ticket
-        self.serve(now_s)
+        self.dispatch_waiting(now_s)
         self._at_once = None
         if self.withdraw(ticket):
-            ticket.decided(self._refusal(ticket, Refusal.CROWDED, now_s))
+            ticket.on_decision(self._refusal(ticket, Refusal.CROWDED, now_s))
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Take a request out whose caller has gone; False if it wasn't waiting."""
@@ -195,54 +197,58 @@
         self._remove(ticket)
         return True
 
-    def ended(self, ticket: Ticket, upstream_id: str, now_s: float) -> None:
+    def release(self, ticket: Ticket, upstream_id: str, now_s: float) -> None:
         """Free the place that a request held at an upstream."""
-        self._rate(ticket.rank).held(now_s - ticket.started_s)
-        self.give_back(ticket, upstream_id, now_s)
+        self._rate(ticket.rank).record_hold(now_s - ticket.sent_s)
+        self.release_unused(ticket, upstream_id, now_s)
 
-    def give_back(self, ticket: Ticket, upstream_id: str, now_s: float) -> None:
+    def release_unused(self, ticket: Ticket, upstream_id: str, now_s: float) -> None:
         """Free a place to which nothing was sent."""
-        seat = self.pool.seat(upstream_id)
+        seat = self.pool.state_of(upstream_id)
         if seat is not None:
-            seat.own.pop(ticket.request_id, None)
+            seat.own_requests.pop(ticket.request_id, None)
         self._held[ticket.rank] -= 1
-        self.serve(now_s, freed=1)
+        self.dispatch_waiting(now_s, freed_slots=1)
 
-    def began(self, ticket: Ticket, upstream_id: str, now_s: float) -> float:
+    def record_first_event(
+        self, ticket: Ticket, upstream_id: str, now_s: float
+    ) -> float:
         """Note that the first event came: the prompt has been read.
 
         Returns by how much it came later than expected, in seconds.
         """
-        seat = self.pool.seat(upstream_id)
-        if seat is not None and ticket.request_id in seat.own:
-            seat.own[ticket.request_id] = 0
-        reading, outlook = self.pool.reading, ticket.outlook
-        ticket.began_s = now_s
-        first_s = now_s - ticket.started_s
-        late_s = first_s - outlook.first_s(reading.tokens_per_step)
-        steps = outlook.reading_steps(first_s)
-        reading.read(tokens=outlook.prefill_tokens, steps=steps)
+        seat = self.pool.state_of(upstream_id)
+        if seat is not None and ticket.request_id in seat.own_requests:
+            seat.own_requests[ticket.request_id] = 0
+        reading, outlook = self.pool.prefill_rate, ticket.estimate
+        ticket.first_event_s = now_s
+        first_s = now_s - ticket.sent_s
+        late_s = first_s - outlook.first_byte_s(reading.tokens_per_step)
+        steps = outlook.prefill_steps(first_s)
+        reading.record(tokens=outlook.prefill_tokens, steps=steps)
         return late_s
 
-    def look(self, now_s: float) -> None:
+    def update_reserve(self, now_s: float) -> None:
         """Follow who waits here and at the other entries."""
-        waiting = [*self.waiting(), *self.peers.waiting]
-        self._kept_free.look(waiting, self._present(now_s), now_s)
+        waiting = [*self.waiting(), *self.peer_counts.waiting]
+        self._kept_free.update(waiting, self._present(now_s), now_s)
 
-    def serve(self, now_s: float, *, freed: int = 0) -> None:
+    def dispatch_waiting(self, now_s: float, *, freed_slots: int = 0) -> None:
         """Hand out what room there is, and refuse those whose time is up.
 
         `freed` is how many places this entry's own requests have just given back.
         """
         self._sort_out(now_s)
         passed: set[int] = set()
-        while ticket := self._next(passed, now_s, is_own=freed > 0):
-            freed -= 1
+        while ticket := self._next(passed, now_s, is_own=freed_slots > 0):
+            freed_slots -= 1
             choice = self.pool.choose(
-                _demand(ticket, now_s), now_s=now_s, rivals=self._rivals(now_s)
+                _demand(ticket, now_s),
+                now_s=now_s,
+                unseen_requests=self._unseen_requests(now_s),
             )
-            if choice.seat is not None:
-                self._dispatch(ticket, choice.seat, now_s)
+            if choice.upstream_state is not None:
+                self._dispatch(ticket, choice.upstream_state, now_s)
             elif choice.worth_waiting:
                 # It waits for another upstream; those behind it needn't.
                 passed.add(ticket.number)
@@ -252,13 +258,13 @@
     def _sort_out(self, now_s: float) -> None:
         """Refuse those whose time is up, and put back those that are late now."""
         for ticket in list(self._waiting):
-            if now_s >= ticket.leaves_line_s:
+            if now_s >= ticket.waits_until_s:
                 self._remove(ticket)
                 reason = Refusal.WAITED_TOO_LONG
-                ticket.decided(self._refusal(ticket, reason, now_s))
-            elif not ticket.late and now_s >= ticket.on_time_until_s:
+                ticket.on_decision(self._refusal(ticket, reason, now_s))
+            elif not ticket.is_late and now_s >= ticket.on_time_until_s:
                 self._waiting.remove(ticket)
-                ticket.late = True
+                ticket.is_late = True
                 self._waiting.add(ticket)
 
     def _next(self, passed: set[int], now_s: float, *, is_own: bool) -> Ticket | None:
@@ -269,7 +275,7 @@
         firsts = self._firsts(passed)
         if not firsts:
             return None
-        room = self.pool.room(now_s)
+        room = self.pool.free_slots(now_s)
         if room <= 0:
             return None
         slots = self.pool.slots()
@@ -278,10 +284,10 @@
             if self._below_guarantee(rank, present, slots):
                 return firsts[rank]
         for rank in sorted(firsts):
-            needed = sum(n for r, n in self.peers.waiting.items() if r < rank)
+            needed = sum(n for r, n in self.peer_counts.waiting.items() if r < rank)
             free = room - self._reserved(rank, present) - needed
             if free > 0:
-                if is_own or self._takes(firsts[rank], free):
+                if is_own or self._claims_slot(firsts[rank], free):
                     return firsts[rank]
                 return self._decided_at_once(rank, passed)
         return None
@@ -307,9 +313,9 @@
     def _is_owed(self, ticket: Ticket) -> bool:
         """Return whether it is one of the longest, and these are served too rarely."""
         lengths = self._lengths[ticket.rank]
-        return lengths.is_long(ticket.answer_tokens) and lengths.owes_long()
+        return lengths.is_long(ticket.answer_tokens) and lengths.is_long_underserved()
 
-    def _takes(self, ticket: Ticket, free: float) -> bool:
+    def _claims_slot(self, ticket: Ticket, free: float) -> bool:
         """Return whether a request takes one of the places that are free for its rank.
 
         Other entries with requests of that rank in line see the same places free, and
@@ -318,7 +324,7 @@
         each takes its part of them, by chance. A place that this entry's own request
         gave back the others don't know to be free yet.
         """
-        others = self.peers.waiting.get(ticket.rank, 0)
+        others = self.peer_counts.waiting.get(ticket.rank, 0)
         if not others:
             return True
         return self._random.random() < free / (others + self._ranks[ticket.rank])
@@ -326,40 +332,44 @@
     def _reserved(self, rank: Rank, present: list[Rank]) -> float:
         """Return how many places stay free for the ranks above this one."""
         above = sum(1 for each in present if each < rank)
-        length = min(1.0, self._rate(rank).hold_s / LONG_S)
-        part = min(RESERVED_MAX, above * RESERVED) * self._kept_free.part(rank)
+        length = min(1.0, self._rate(rank).mean_hold_s / LONG_S)
+        part = min(RESERVED_MAX, above * RESERVED_SHARE) * self._kept_free.share(rank)
         return part * length * self.pool.slots()
 
     def _below_guarantee(self, rank: Rank, present: list[Rank], slots: int) -> bool:
         if rank == present[0]:
             return False
-        part = GUARANTEED / (len(present) - 1)
-        held = self._held[rank] + self.peers.held.get(rank, 0)
+        part = GUARANTEED_SHARE / (len(present) - 1)
+        held = self._held[rank] + self.peer_counts.held.get(rank, 0)
         return held < part * slots
 
     def _present(self, now_s: float) -> list[Rank]:
         """Return the ranks that are in use, the highest first."""
         own = [r for r, at_s in self._seen_s.items() if now_s < at_s + PRESENT_S]
-        return sorted({*own, *self.waiting(), *self.peers.waiting, *self.peers.held})
+        return sorted(
+            {*own, *self.waiting(), *self.peer_counts.waiting, *self.peer_counts.held}
+        )
 
-    def _dispatch(self, ticket: Ticket, seat: Seat, now_s: float) -> None:
+    def _dispatch(self, ticket: Ticket, seat: UpstreamState, now_s: float) -> None:
         self._remove(ticket)
         self._send(ticket, seat, now_s)
 
-    def _send(self, ticket: Ticket, seat: Seat, now_s: float) -> None:
+    def _send(self, ticket: Ticket, seat: UpstreamState, now_s: float) -> None:
         if self.canary is not None:
             is_canary = seat.access is Access.CANARY
             self.canary.sent(ticket.route, to_target=is_canary)
         if ticket.may_wait:
-            self._lengths[ticket.rank].served(ticket.answer_tokens)
-        ticket.started_s = now_s
-        ticket.outlook = outlook_at(seat, ticket.prompt_tokens)
-        tokens_per_step = self.pool.reading.tokens_per_step
-        ticket.expected_first_s = ticket.outlook.first_s(tokens_per_step)
-        ticket.expected_first_steps = ticket.outlook.first_steps(tokens_per_step)
-        seat.own[ticket.request_id] = ticket.prompt_tokens
+            self._lengths[ticket.rank].record_dispatch(ticket.answer_tokens)
+        ticket.sent_s = now_s
+        ticket.estimate = estimate_latency(seat, ticket.prompt_tokens)
+        tokens_per_step = self.pool.prefill_rate.tokens_per_step
+        ticket.expected_first_byte_s = ticket.estimate.first_byte_s(tokens_per_step)
+        ticket.expected_first_byte_steps = ticket.estimate.first_byte_steps(
+            tokens_per_step
+        )
+        seat.own_requests[ticket.request_id] = ticket.prompt_tokens
         self._held[ticket.rank] += 1
-        ticket.decided(Dispatch(upstream=seat.upstream))
+        ticket.on_decision(Dispatch(upstream=seat.upstream))
 
     def _add(self, ticket: Ticket) -> None:
         self._waiting.add(ticket)
@@ -372,19 +382,19 @@
     def _rate(self, rank: Rank) -> RankRates:
         return self._rates.setdefault(rank, RankRates())
 
-    def _rivals(self, now_s: float) -> float:
+    def _unseen_requests(self, now_s: float) -> float:
         """Return how many requests of other entries aren't known here yet.
 
         Callers are spread over all entries, so the others get what this one gets.
         """
         per_s = sum(rates.arrivals_per_s(now_s) for rates in self._rates.values())
-        return per_s * self.peers.entries * self.peers.age_s
+        return per_s * self.peer_counts.entries * self.peer_counts.age_s
 
     def _patience_s(self, ticket: Ticket, now_s: float) -> float:
         """Return how long a request may wait from now on."""
-        leaves_s = min(ticket.deadline_s, ticket.quiet_since_s + ticket.patience_s)
+        leaves_s = min(ticket.deadline_s, ticket.idle_since_s + ticket.patience_s)
         left_s = leaves_s - now_s - SERVICE_MARGIN_S
-        if ticket.returned:
+        if ticket.resubmitted:
             return left_s * RETURNED_PART
         if ticket.rank == min(self._present(now_s)):
             return left_s * HIGHEST_PART
@@ -400,45 +410,47 @@
         rank, slots = ticket.rank, max(1, self.pool.slots())
         own = 0
         if not self._is_owed(ticket):
-            own = sum(1 for t in self._waiting if _turn(t) < _turn(ticket))
-        peers = sum(n for r, n in self.peers.waiting.items() if r <= rank)
+            own = sum(
+                1 for t in self._waiting if _priority_key(t) < _priority_key(ticket)
+            )
+        peers = sum(n for r, n in self.peer_counts.waiting.items() if r <= rank)
         present = self._present(now_s)
         reserved = self._reserved(rank, present)
-        ahead = own + peers - max(0, self.pool.room(now_s) - reserved)
+        ahead = own + peers - max(0, self.pool.free_slots(now_s) - reserved)
         if ahead < 0:
             return 0.0
-        entries = self.peers.entries + 1
+        entries = self.peer_counts.entries + 1
         arrivals = {
             each: rates.arrivals_per_s(now_s) * entries
             for each, rates in self._rates.items()
         }
         above_slots = sum(
-            per_s * self._rates[each].hold_s
+            per_s * self._rates[each].mean_hold_s
             for each, per_s in arrivals.items()
             if each < rank
         )
-        guaranteed = GUARANTEED / max(1, len(present) - 1) * slots
+        guaranteed = GUARANTEED_SHARE / max(1, len(present) - 1) * slots
         left_slots = max(slots - above_slots, guaranteed, 1.0)
-        return (ahead + 1) * self._rate(rank).hold_s / left_slots
+        return (ahead + 1) * self._rate(rank).mean_hold_s / left_slots
 
     def _refusal(self, ticket: Ticket, reason: Refusal, now_s: float) -> Refuse:
         wait_s = self._wait_s(ticket, now_s) * self._random.uniform(*RETRY_SPREAD)
-        latest_s = max(0.0, (ticket.deadline_s - now_s) * RETURN_PART)
+        latest_s = max(0.0, (ticket.deadline_s - now_s) * RETRY_AFTER_MAX_SHARE)
         after_s = min(max(RETRY_AFTER_MIN_S, wait_s), latest_s)
         return Refuse(reason=reason, retry_after_s=after_s)
 
 
-def _demand(ticket: Ticket, now_s: float) -> Demand:
-    on_time_s = ticket.first_s + ticket.target_s - now_s
+def _demand(ticket: Ticket, now_s: float) -> Requirements:
+    on_time_s = ticket.first_arrival_s + ticket.target_s - now_s
     left_s = ticket.deadline_s - now_s
-    return Demand(
+    return Requirements(
         prompt_tokens=ticket.prompt_tokens,
         answer_tokens=ticket.answer_tokens,
         # One that is late already has no time to lose, and no upstream to wait for.
-        first_in_s=on_time_s if on_time_s > 0.0 else left_s,
-        left_s=left_s,
+        first_byte_within_s=on_time_s if on_time_s > 0.0 else left_s,
+        remaining_s=left_s,
         excluded=ticket.excluded,
-        repeatable=ticket.repeatable,
+        retryable=ticket.retryable,
     )
 
 
@@ -455,26 +467,26 @@
         self,
         *,
         random: Random,
-        peers_running: Callable[[], Mapping[str, Running]] = dict,
-        peers_share: Callable[[str], PeersShare] = lambda service: PeersShare(),
+        peer_loads: Callable[[], Mapping[str, Load]] = dict,
+        peer_counts: Callable[[str], PeerCounts] = lambda service: PeerCounts(),
         access: Callable[[Upstream], Access] = lambda upstream: Access.OPEN,
         canary: Callable[[str], CanaryShare | None] = lambda service: None,
     ):
         self._random = random
-        self._peers_running = peers_running
-        self._peers_share = peers_share
+        self._peers_running = peer_loads
+        self._peers_share = peer_counts
         self._access = access
         self._canary = canary
-        self._lines: dict[str, Line] = {}
+        self._lines: dict[str, ServiceQueue] = {}
 
-    def line(self, service: str) -> Line:
+    def queue(self, service: str) -> ServiceQueue:
         """Return a service's line."""
         if service not in self._lines:
             pool = Pool(random=self._random, access=self._access)
-            self._lines[service] = Line(pool=pool, random=self._random)
+            self._lines[service] = ServiceQueue(pool=pool, random=self._random)
         return self._lines[service]
 
-    def lines(self) -> dict[str, Line]:
+    def queues(self) -> dict[str, ServiceQueue]:
         """Return all lines by service."""
         return self._lines
 
@@ -484,11 +496,11 @@
         for each in upstreams:
             by_service.setdefault(each.service, []).append(each)
         for service, listed in by_service.items():
-            line = self.line(service)
+            line = self.queue(service)
             line.pool.reconfigure(listed)
-            line.serve(now_s)
+            line.dispatch_waiting(now_s)
 
-    def rolled(self) -> None:
+    def rollouts_changed(self) -> None:
         """Take over how far roll-outs have come."""
         for service, line in self._lines.items():
             line.canary = self._canary(service)
@@ -498,8 +510,8 @@
         """Refuse those whose time is up, and use what peers no longer need."""
         running = self._peers_running()
         for service, line in self._lines.items():
-            line.pool.refresh_peers(running)
-            line.pool.come_back(now_s)
-            line.peers = self._peers_share(service)
-            line.look(now_s)
-            line.serve(now_s)
+            line.pool.update_peer_loads(running)
+            line.pool.expire_evictions(now_s)
+            line.peer_counts = self._peers_share(service)
+            line.update_reserve(now_s)
+            line.dispatch_waiting(now_s)
--- a/lavenderspoke/direct/sharing.py
+++ b/lavenderspoke/direct/sharing.py
@@ -6,13 +6,13 @@
 
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.peertotals import PeerTotals
-from lavenderspoke.direct.pool import Running
-from lavenderspoke.direct.scheduler import PeersShare
+from lavenderspoke.direct.pool import Load
+from lavenderspoke.direct.scheduler import PeerCounts
 from lavenderspoke.model import InstanceId
 
 # An entry not heard for so long, in seconds, counts as silent: at least three of the
 # messages that are due in that time would have to be lost.
-SILENT_S = 1.0
+HEARD_TIMEOUT_S = 1.0
 # A neighbour that hasn't told anything itself for so long, in seconds, doesn't pass on
 # what the others of its group tell: while nothing changes, a message is due each 0.3 s.
 MUTE_S = 0.5
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Whereabouts:
+class EntryLocation:
     """Where an entry listens for the others, and in which data centre it runs."""
 
     address: str
@@ -48,7 +48,7 @@
     way of others. `number` is that of its last state.
     """
 
-    whereabouts: Whereabouts
+    whereabouts: EntryLocation
     seen_s: float
     incarnation: str = ""
     number: int = -1
@@ -70,7 +70,7 @@
         # Earlier lives, by when they ended.
         self._ended: OrderedDict[InstanceId, float] = OrderedDict()
 
-    def listed(self, entries: dict[str, Whereabouts], now_s: float) -> None:
+    def update_listed(self, entries: dict[str, EntryLocation], now_s: float) -> None:
         """Take over the entries that the platform's store names.
 
         A record there outlives its entry, so it makes an entry known once and
@@ -85,7 +85,7 @@
                 self._totals.drop(name)
                 self._peers[name] = _Peer(whereabouts=whereabouts, seen_s=now_s)
 
-    def heard(
+    def receive(
         self,
         sender: InstanceId,
         state: SharedState,
@@ -115,7 +115,7 @@
             self._end(attrs.evolve(sender, incarnation=peer.incarnation), now_s)
             told_s = None
         self._peers[sender.name] = _Peer(
-            whereabouts=Whereabouts(
+            whereabouts=EntryLocation(
                 address=state.address, data_centre=state.data_centre
             ),
             seen_s=now_s,
@@ -127,7 +127,7 @@
         self._totals.put(sender.name, state)
         return True
 
-    def known(self, now_s: float) -> dict[str, Whereabouts]:
+    def known(self, now_s: float) -> dict[str, EntryLocation]:
         """Return the entries by name that may be alive."""
         return {
             name: peer.whereabouts
@@ -139,7 +139,7 @@
         """Return the names of those that were heard just now, by whatever way."""
         return [n for n, peer in self._peers.items() if self._fresh(peer, now_s)]
 
-    def speaking_names(self, now_s: float) -> list[str]:
+    def directly_heard_names(self, now_s: float) -> list[str]:
         """Return the names of those that told something themselves just now."""
         return [
             name
@@ -147,27 +147,27 @@
             if peer.told_s is not None and now_s < peer.told_s + MUTE_S
         ]
 
-    def gone(self, now_s: float) -> list[str]:
+    def remove_expired(self, now_s: float) -> list[str]:
         """Forget those that are gone for good and return their addresses."""
         names = [n for n, p in self._peers.items() if not self._may_live(p, now_s)]
         for name in names:
             self._totals.drop(name)
         return [self._peers.pop(name).whereabouts.address for name in names]
 
-    def drop_silent(self, now_s: float) -> None:
+    def drop_stale(self, now_s: float) -> None:
         """Leave out of `running` and `share` what those said that aren't heard."""
         for name in self._totals.names():
             if not self._fresh(self._peers[name], now_s):
                 self._totals.drop(name)
 
-    def running(self) -> dict[str, Running]:
+    def loads(self) -> dict[str, Load]:
         """Return what the entries that are heard have running, by upstream."""
-        return self._totals.running()
+        return self._totals.loads()
 
-    def share(self, service: str) -> PeersShare:
+    def counts(self, service: str) -> PeerCounts:
         """Return what the entries that are heard have of a service."""
         # A state's age goes from nothing to that at which it is replaced.
-        return self._totals.share(service, age_s=self._replaced_s / 2.0)
+        return self._totals.counts(service, age_s=self._replaced_s / 2.0)
 
     def heard_and_known(self, now_s: float) -> tuple[int, int]:
         """Return how many entries are heard and how many there may be.
@@ -196,17 +196,17 @@
 
     @staticmethod
     def _fresh(peer: _Peer, now_s: float) -> bool:
-        return peer.heard_s is not None and now_s < peer.heard_s + SILENT_S
+        return peer.heard_s is not None and now_s < peer.heard_s + HEARD_TIMEOUT_S
 
 
-class Returns:
+class Resubmissions:
     """The refused requests that are expected back, here or at another entry."""
 
     def __init__(self):
         self._first_s: OrderedDict[str, float] = OrderedDict()
         self._news: list[str] = []
 
-    def refused(self, fingerprint: str, first_s: float) -> None:
+    def record_refusal(self, fingerprint: str, first_s: float) -> None:
         """Note a refusal of this entry, to be told to the others.
 
         `first_s` is when its caller asked for the first time.
@@ -214,7 +214,7 @@
         self._expect(fingerprint, first_s)
         self._news.append(fingerprint)
 
-    def heard(self, fingerprints: tuple[str, ...], now_s: float) -> None:
+    def record_peer_refusals(self, fingerprints: tuple[str, ...], now_s: float) -> None:
         """Take in refusals of another entry, which tells of them at once."""
         for fingerprint in fingerprints:
             self._expect(fingerprint, now_s)
@@ -229,7 +229,7 @@
             return None
         return first_s
 
-    def news(self) -> tuple[str, ...]:
+    def take_unsent(self) -> tuple[str, ...]:
         """Return the refusals that the others haven't been told of."""
         news, self._news = self._news, []
         return tuple(news)
--- a/lavenderspoke/direct/opening.py
+++ b/lavenderspoke/direct/startuphold.py
@@ -12,15 +12,15 @@
 POLL_S = 0.005
 
 
-class Opening:
+class StartupHold:
     """The first moments of an entry.
 
     Without it, requests that wait at the port while the entry starts are all refused
     in the milliseconds before the first configuration is read.
     """
 
-    def __init__(self, *, known: Callable[[], bool], clock: Clock):
-        self._known = known
+    def __init__(self, *, is_ready: Callable[[], bool], clock: Clock):
+        self._known = is_ready
         self._clock = clock
         self._created_s = clock.monotonic_s()
         self._until_s: float | None = None
--- a/lavenderspoke/direct/talk.py
+++ b/lavenderspoke/direct/talk.py
@@ -19,7 +19,7 @@
     SharedState,
 )
 from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.spreading import Spreading
 from lavenderspoke.model import InstanceId
 
@@ -72,7 +72,7 @@
         self._quiet_ticks = 0
         self._number = 0
         self._told: SharedState | None = None
-        self._greeted: set[tuple[str, Whereabouts]] = set()
+        self._greeted: set[tuple[str, EntryLocation]] = set()
         self._pending: dict[str, _Pending] = {}
         self._lock = threading.Lock()
 
@@ -111,7 +111,7 @@
             self._note(sender, message)
         return []
 
-    def _own_news(self, known: Mapping[str, Whereabouts], ticks: int) -> list[Letter]:
+    def _own_news(self, known: Mapping[str, EntryLocation], ticks: int) -> list[Letter]:
         state, *evidence = self._office.news(leaving=False)
         self._quiet_ticks += ticks
         recipients = self._strangers(known)
@@ -128,7 +128,9 @@
             letters += _letters(each, known)
         return letters
 
-    def _strangers(self, known: Mapping[str, Whereabouts]) -> dict[str, Whereabouts]:
+    def _strangers(
+        self, known: Mapping[str, EntryLocation]
+    ) -> dict[str, EntryLocation]:
         """Return those that this entry has never told anything, for the last time.
 
         The platform names to an entry only those that were there before it. Without a
@@ -153,7 +155,7 @@
                 sender=sender, at_s=self._clock.monotonic_s(), state=state
             )
 
-    def _pass_on(self, known: Mapping[str, Whereabouts]) -> list[Letter]:
+    def _pass_on(self, known: Mapping[str, EntryLocation]) -> list[Letter]:
         """Return what this entry's group told, for those groups that it speaks to."""
         with self._lock:
             pending, self._pending = self._pending, {}
@@ -200,13 +202,13 @@
 
 
 def _named(
-    names: Iterable[str], known: Mapping[str, Whereabouts]
-) -> dict[str, Whereabouts]:
+    names: Iterable[str], known: Mapping[str, EntryLocation]
+) -> dict[str, EntryLocation]:
     return {name: known[name] for name in names if name in known}
 
 
 def _letters(
-    message: DirectMessage, recipients: Mapping[str, Whereabouts]
+    message: DirectMessage, recipients: Mapping[str, EntryLocation]
 ) -> list[Letter]:
     return [
         Letter(name=name, address=each.address, message=message)
--- a/lavenderspoke/direct/tickets.py
+++ b/lavenderspoke/direct/tickets.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.pool import Outlook
+from lavenderspoke.direct.pool import LatencyEstimate
 
 # The part of its target that a request waits at most, so that its first byte
 # can still come on time.
@@ -67,27 +67,27 @@
     rank: Rank
     prompt_tokens: int
     answer_tokens: int
-    first_s: float
-    quiet_since_s: float
+    first_arrival_s: float
+    idle_since_s: float
     deadline_s: float
     target_s: float
     patience_s: float
-    returned: bool
-    decided: Callable[[Decision], None]
+    resubmitted: bool
+    on_decision: Callable[[Decision], None]
     excluded: set[str] = attrs.field(factory=set)
     may_wait: bool = True
-    repeatable: bool = False
+    retryable: bool = False
     number: int = 0
-    late: bool = False
-    leaves_line_s: float = 0.0
-    started_s: float = 0.0
-    outlook: Outlook | None = None
-    expected_first_s: float = 0.0
-    expected_first_steps: float = 0.0
-    began_s: float | None = None
+    is_late: bool = False
+    waits_until_s: float = 0.0
+    sent_s: float = 0.0
+    estimate: LatencyEstimate | None = None
+    expected_first_byte_s: float = 0.0
+    expected_first_byte_steps: float = 0.0
+    first_event_s: float | None = None
     events: int = 0
 
     @property
     def on_time_until_s(self) -> float:
         """Until when it may wait and still be answered on time."""
-        return self.first_s + self.target_s * ON_TIME_PART
+        return self.first_arrival_s + self.target_s * ON_TIME_PART
--- a/lavenderspoke/direct/usage.py
+++ b/lavenderspoke/direct/usage.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-Rows = tuple[tuple[int, float, float], ...]
+UsageRows = tuple[tuple[int, float, float], ...]
 """Rank, what an entry let through of it and what was asked for, since its start."""
 
 
@@ -52,8 +52,8 @@
 
     since_s: float
     at_s: float
-    empties_per_s: float = 0.0
-    level: float = 0.0
+    leak_per_s: float = 0.0
+    bucket_level: float = 0.0
     _used: defaultdict[int, _Window] = attrs.field(factory=_windows)
     _asked: defaultdict[int, _Window] = attrs.field(factory=_windows)
     _own_used: defaultdict[int, float] = attrs.field(factory=lambda: defaultdict(float))
@@ -61,15 +61,15 @@
         factory=lambda: defaultdict(float)
     )
 
-    def pass_time(self, now_s: float, window_s: float) -> None:
+    def advance(self, now_s: float, window_s: float) -> None:
         """Forget what has left the window, and empty the bucket a little."""
         for window in (*self._used.values(), *self._asked.values()):
             window.forget(now_s - window_s)
-        emptied = max(0.0, now_s - self.at_s) * self.empties_per_s
-        self.level = max(0.0, self.level - emptied)
+        emptied = max(0.0, now_s - self.at_s) * self.leak_per_s
+        self.bucket_level = max(0.0, self.bucket_level - emptied)
         self.at_s = now_s
 
-    def is_full(self, now_s: float, window_s: float) -> bool:
+    def covers_window(self, now_s: float, window_s: float) -> bool:
         """Return whether all of a window is known."""
         return now_s - self.since_s >= window_s
 
@@ -77,15 +77,15 @@
         """Return what was used in the window."""
         return sum(window.amount for window in self._used.values())
 
-    def used_from(self, rank: int) -> float:
+    def used_at_or_below(self, rank: int) -> float:
         """Return what that rank and those below it used in the window."""
         return sum(w.amount for each, w in self._used.items() if each >= rank)
 
-    def asked_above(self, rank: int) -> float:
+    def requested_above(self, rank: int) -> float:
         """Return what ranks above that one asked for in the window."""
         return sum(w.amount for each, w in self._asked.items() if each < rank)
 
-    def ask(self, rank: int, cost: float, now_s: float) -> None:
+    def record_request(self, rank: int, cost: float, now_s: float) -> None:
         """Count what was asked for at this entry."""
         self._asked[rank].add(cost, now_s)
         self._own_asked[rank] += cost
@@ -94,20 +94,20 @@
         """Count what this entry let through."""
         self._used[rank].add(cost, now_s)
         self._own_used[rank] += cost
-        self.level += cost
+        self.bucket_level += cost
 
     def refund(self, rank: int, cost: float) -> None:
         """Take back what this entry let through and what never ran."""
         self._used[rank].take_back(cost)
         self._own_used[rank] -= cost
-        self.level = max(0.0, self.level - cost)
+        self.bucket_level = max(0.0, self.bucket_level - cost)
 
-    def totals(self) -> Rows:
+    def totals(self) -> UsageRows:
         """Return rank, used and asked for of this entry, since its start."""
         ranks = sorted({*self._own_used, *self._own_asked})
         return tuple((r, self._own_used[r], self._own_asked[r]) for r in ranks)
 
-    def add_peer(self, before: Rows, after: Rows, now_s: float) -> None:
+    def merge_peer(self, before: UsageRows, after: UsageRows, now_s: float) -> None:
         """Add what a peer's totals have grown by."""
         known = {rank: (used, asked) for rank, used, asked in before}
         for rank, used, asked in after:
@@ -119,9 +119,9 @@
                 self._used[rank].add(added, now_s)
             else:
                 self._used[rank].take_back(-added)
-            self.level = max(0.0, self.level + added)
+            self.bucket_level = max(0.0, self.bucket_level + added)
 
-    def frees_s(self, amount: float, now_s: float, window_s: float) -> float:
+    def wait_to_free_s(self, amount: float, now_s: float, window_s: float) -> float:
         """Return in how many seconds so much will have left the window."""
         if amount <= 0.0:
             return 0.0
--- a/lavenderspoke/platform/feeds.py
+++ b/lavenderspoke/platform/feeds.py
@@ -15,7 +15,7 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.records import Records
 from lavenderspoke.direct.relay import Relay
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform import configuration
 from lavenderspoke.platform.decoding import parse_as
@@ -233,8 +233,8 @@
         relay: Relay,
         metrics: Metrics,
         name: str,
-        whereabouts: Whereabouts,
-        on_change: Callable[[dict[str, Whereabouts]], None],
+        whereabouts: EntryLocation,
+        on_change: Callable[[dict[str, EntryLocation]], None],
     ):
         super().__init__(store=store, clock=clock, relay=relay, metrics=metrics)
         self._name = name
@@ -265,7 +265,7 @@
         for record in content.records:
             if record.value is None:
                 continue
-            decoded = parse_as(record.value, Whereabouts)
+            decoded = parse_as(record.value, EntryLocation)
             if isinstance(decoded, Err):
                 error = decoded.err_value
                 log.warning("entry's record skipped", key=record.key, error=error)
