--- a/bench/engineday.py
+++ b/bench/engineday.py
@@ -181,7 +181,7 @@
             rank=(0, kind.rank),
             prompt_tokens=call.prompt_tokens,
             answer_tokens=call.expected_tokens,
-            first_arrival_s=call.first_s,
+            first_arrived_s=call.first_s,
             idle_since_s=self.now_s,
             deadline_s=call.first_s + kind.deadline_s,
             target_s=kind.target_s,
--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -9,7 +9,7 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import HEARD_TIMEOUT_S, EntryLocation
+from lavenderspoke.direct.sharing import LIVE_TIMEOUT_S, EntryLocation
 from lavenderspoke.direct.talk import Talk
 from lavenderspoke.direct.tickets import Ticket
 from lavenderspoke.model import InstanceId
@@ -176,7 +176,7 @@
         rank=(0, 0),
         prompt_tokens=100,
         answer_tokens=10,
-        first_arrival_s=now_s,
+        first_arrived_s=now_s,
         idle_since_s=now_s,
         deadline_s=now_s + 60.0,
         target_s=1.0,
@@ -194,6 +194,6 @@
     begun_s = fleet.now_s
     line = {e.me.name: e.office._scheduler.queue(SERVICE) for e in others}
     while any(line[e.me.name].pool.peer_requests() == 0 for e in others):
-        assert fleet.now_s < begun_s + HEARD_TIMEOUT_S, "not known to all"
+        assert fleet.now_s < begun_s + LIVE_TIMEOUT_S, "not known to all"
         fleet.run(0.005)
     return fleet.now_s - begun_s
--- a/features/rolloutdrive.py
+++ b/features/rolloutdrive.py
@@ -212,7 +212,7 @@
             rank=(0, 0),
             prompt_tokens=1000,
             answer_tokens=ROUTES[route][1],
-            first_arrival_s=self.now_s,
+            first_arrived_s=self.now_s,
             idle_since_s=self.now_s,
             deadline_s=self.now_s + 10.0,
             target_s=1.0,
--- a/features/steps/contended_steps.py
+++ b/features/steps/contended_steps.py
@@ -46,7 +46,7 @@
             rank=RANK,
             prompt_tokens=100,
             answer_tokens=10,
-            first_arrival_s=0.0,
+            first_arrived_s=0.0,
             idle_since_s=0.0,
             deadline_s=60.0,
             target_s=60.0,
--- a/features/steps/direct_limits_steps.py
+++ b/features/steps/direct_limits_steps.py
@@ -79,7 +79,7 @@
         if restart_s is not None and now_s >= restart_s and not lives:
             quotas, lives = [new_quota(context, now_s) for _ in quotas], 1
         for quota in quotas:
-            quota.set_entry_counts(heard=2 if context.hearing else 1, known=2)
+            quota.set_entry_counts(live=2 if context.hearing else 1, known=2)
         if now_s < begin_s:
             continue
         quota = quotas[tick % 2]
@@ -215,7 +215,7 @@
 def step_starts_beside(context, per_s, seconds):
     context.start_s = float(seconds)
     context.quota = new_quota(context, context.start_s)
-    context.quota.set_entry_counts(heard=2, known=2)
+    context.quota.set_entry_counts(live=2, known=2)
     for told_s in (seconds, seconds + 1):
         told = float(per_s * told_s)
         spent = {context.customer.name: ((0, told, told),)}
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -71,7 +71,7 @@
             rank=(0, 0),
             prompt_tokens=0,
             answer_tokens=1,
-            first_arrival_s=self.now_s,
+            first_arrived_s=self.now_s,
             idle_since_s=self.now_s,
             deadline_s=self.now_s + 2.0,
             target_s=0.4,
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -219,7 +219,7 @@
         rank=(0, 0),
         prompt_tokens=10,
         answer_tokens=10,
-        first_arrival_s=now_s,
+        first_arrived_s=now_s,
         idle_since_s=now_s,
         deadline_s=now_s + 5.0,
         target_s=1.0,
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -189,7 +189,7 @@
             rank=accepted.rank,
             prompt_tokens=accepted.head.prompt_tokens or 0,
             answer_tokens=accepted.head.answer_tokens,
-            first_arrival_s=accepted.first_s,
+            first_arrived_s=accepted.first_s,
             idle_since_s=self._quiet_since_s,
             deadline_s=accepted.until_s,
             target_s=accepted.route.target_s,
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -369,7 +369,7 @@
     def heard_names(self) -> list[str]:
         """Return the names of the other entries that were heard just now."""
         with self._lock:
-            return self._peers.heard_names(self._now_s())
+            return self._peers.live_names(self._now_s())
 
     def speaking_names(self) -> list[str]:
         """Return the names of those that told this entry something just now."""
@@ -430,7 +430,7 @@
         if not self._rollouts.is_any_running:
             return
         places = {
-            service: line.pool.slots_by_version()
+            service: line.pool.version_load()
             for service, line in self._scheduler.queues().items()
             if self._rollouts.canary(service) is not None
         }
@@ -440,7 +440,7 @@
     def _surroundings(self, now_s: float) -> Surroundings:
         return Surroundings(
             name=self._name,
-            heard=tuple(self._peers.heard_names(now_s)),
+            heard=tuple(self._peers.live_names(now_s)),
             known=1 + len(self._peers.known(now_s)),
             orders_age_s=now_s - self._orders_read_s,
             bounds=self.bounds.rollout,
@@ -448,9 +448,9 @@
 
     def _share(self, now_s: float) -> None:
         """Keep to the part of limits and budgets that is this entry's now."""
-        heard, known = self._peers.heard_and_known(now_s)
+        heard, known = self._peers.live_and_known_counts(now_s)
         alone = now_s < self._alone_until_s
-        self._quota.set_entry_counts(heard=1 if alone else heard, known=known)
+        self._quota.set_entry_counts(live=1 if alone else heard, known=known)
         if known != self._known:
             self._known = known
             self._share_retries()
--- a/lavenderspoke/direct/pool.py
+++ b/lavenderspoke/direct/pool.py
@@ -270,7 +270,7 @@
         )
         return sum(max(0, s.free_slots()) for s in usable if not s.health.is_ejected)
 
-    def slots_by_version(self) -> Places:
+    def version_load(self) -> Places:
         """Return the places by version, in all and taken."""
         slots: Counter[str] = Counter()
         held: Counter[str] = Counter()
--- a/lavenderspoke/direct/quota.py
+++ b/lavenderspoke/direct/quota.py
@@ -106,10 +106,10 @@
         self._window_s = window_s
         self._tolerance = tolerance
 
-    def set_entry_counts(self, *, heard: int, known: int) -> None:
+    def set_entry_counts(self, *, live: int, known: int) -> None:
         """Set how many of the known entries, this one included, are heard."""
         self._entries = max(1, known)
-        self._part = heard / self._entries
+        self._part = live / self._entries
 
     def spend(
         self,
--- a/lavenderspoke/direct/scheduler.py
+++ b/lavenderspoke/direct/scheduler.py
@@ -441,7 +441,7 @@
 
 
 def _demand(ticket: Ticket, now_s: float) -> Requirements:
-    on_time_s = ticket.first_arrival_s + ticket.target_s - now_s
+    on_time_s = ticket.first_arrived_s + ticket.target_s - now_s
     left_s = ticket.deadline_s - now_s
     return Requirements(
         prompt_tokens=ticket.prompt_tokens,
--- a/lavenderspoke/direct/sharing.py
+++ b/lavenderspoke/direct/sharing.py
@@ -12,7 +12,7 @@
 
 # An entry not heard for so long, in seconds, counts as silent: at least three of the
 # messages that are due in that time would have to be lost.
-HEARD_TIMEOUT_S = 1.0
+LIVE_TIMEOUT_S = 1.0
 # A neighbour that hasn't told anything itself for so long, in seconds, doesn't pass on
 # what the others of its group tell: while nothing changes, a message is due each 0.3 s.
 MUTE_S = 0.5
@@ -135,7 +135,7 @@
             if self._may_live(peer, now_s)
         }
 
-    def heard_names(self, now_s: float) -> list[str]:
+    def live_names(self, now_s: float) -> list[str]:
         """Return the names of those that were heard just now, by whatever way."""
         return [n for n, peer in self._peers.items() if self._fresh(peer, now_s)]
 
@@ -169,12 +169,12 @@
         # A state's age goes from nothing to that at which it is replaced.
         return self._totals.counts(service, age_s=self._replaced_s / 2.0)
 
-    def heard_and_known(self, now_s: float) -> tuple[int, int]:
+    def live_and_known_counts(self, now_s: float) -> tuple[int, int]:
         """Return how many entries are heard and how many there may be.
 
         Both count this entry.
         """
-        return 1 + len(self.heard_names(now_s)), 1 + len(self.known(now_s))
+        return 1 + len(self.live_names(now_s)), 1 + len(self.known(now_s))
 
     def _is_old(
         self, sender: InstanceId, state: SharedState, age_s: float | None, now_s: float
@@ -196,7 +196,7 @@
 
     @staticmethod
     def _fresh(peer: _Peer, now_s: float) -> bool:
-        return peer.heard_s is not None and now_s < peer.heard_s + HEARD_TIMEOUT_S
+        return peer.heard_s is not None and now_s < peer.heard_s + LIVE_TIMEOUT_S
 
 
 class Resubmissions:
--- a/lavenderspoke/direct/tickets.py
+++ b/lavenderspoke/direct/tickets.py
@@ -67,7 +67,7 @@
     rank: Rank
     prompt_tokens: int
     answer_tokens: int
-    first_arrival_s: float
+    first_arrived_s: float
     idle_since_s: float
     deadline_s: float
     target_s: float
@@ -90,4 +90,4 @@
     @property
     def on_time_until_s(self) -> float:
         """Until when it may wait and still be answered on time."""
-        return self.first_arrival_s + self.target_s * ON_TIME_PART
+        return self.first_arrived_s + self.target_s * ON_TIME_PART
