--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from lavenderspoke.clock import ManualClock
+from lavenderspoke.direct.dissemination import Dissemination
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.direct.sharing import SILENT_S, Whereabouts
-from lavenderspoke.direct.talk import Talk
 from lavenderspoke.direct.tickets import Ticket
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
@@ -61,7 +61,7 @@
             metrics=Metrics(),
         )
         self.office.upstreams_changed(upstreams)
-        self.talk = Talk(me=self.me, office=self.office, clock=clock)
+        self.talk = Dissemination(me=self.me, office=self.office, clock=clock)
         self.is_down = False
 
 
@@ -113,7 +113,7 @@
             seed=self._random.randrange(1000),
         )
         entry.me = InstanceId(name=name, incarnation=f"{before.me.incarnation}+")
-        entry.talk = Talk(me=entry.me, office=entry.office, clock=self.clock)
+        entry.talk = Dissemination(me=entry.me, office=entry.office, clock=self.clock)
         self.entries[name] = entry
         self._start(entry, only_earlier=False)
         return entry
@@ -160,7 +160,7 @@
         entry = self.entries[letter.name]
         if entry.is_down or letter.address != entry.whereabouts.address:
             return
-        for further in entry.talk.heard(sender.me, letter.message):
+        for further in entry.talk.receive(sender.me, letter.message):
             self.send(entry, further)
 
     def _look(self) -> None:
--- a/features/rolloutdrive.py
+++ b/features/rolloutdrive.py
@@ -12,10 +12,10 @@
 from result import Err, Ok
 
 from features.entryfleet import SERVICE, Entry, Fleet, upstream_of
-from lavenderspoke.direct.catalog import Repeat, Route, Share
+from lavenderspoke.direct.catalog import Repeatability, Route, TrafficShare
 from lavenderspoke.direct.desk import Outcome
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.records import KeyedRecord, Records, StoreError
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch, StoreError
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.rollouts import STATUS_TOPIC, StatusWriter
@@ -63,9 +63,11 @@
         self.records: list[KeyedRecord] = []
         self.turned_away: set[str] = set()
 
-    def newest(self) -> Records:
+    def newest(self) -> RecordBatch:
         newest = {record.key: record for record in self.records}
-        return Records(records=tuple(newest.values()), next_offset=len(self.records))
+        return RecordBatch(
+            records=tuple(newest.values()), next_offset=len(self.records)
+        )
 
     def append(self, key: str, value: bytes, end_offset: int | None):
         if end_offset is not None and end_offset != len(self.records):
@@ -284,13 +286,13 @@
         name=name,
         host="h",
         path_prefix=f"/{name}/",
-        repeat=Repeat.ONCE,
+        repeatability=Repeatability.ONCE,
         stream=True,
         resumable=True,
         timeout_s=10.0,
         target_s=1.0,
         patience_s=10.0,
         rank=0,
-        shares=(Share(service=SERVICE, weight=1.0),),
+        traffic_split=(TrafficShare(service=SERVICE, weight=1.0),),
         attempts_max=2,
     )
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -10,7 +10,7 @@
 
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import SystemClock
-from lavenderspoke.direct.catalog import Repeat, Route, Share
+from lavenderspoke.direct.catalog import Repeatability, Route, TrafficShare
 from lavenderspoke.direct.desk import Accepted, Outcome
 from lavenderspoke.direct.dialect import CallerHead, UpstreamCall
 from lavenderspoke.direct.exchange import AnswerCut, ConnectionPool
@@ -230,14 +230,14 @@
         name="r",
         host="h",
         path_prefix="/",
-        repeat=Repeat.ONCE,
+        repeatability=Repeatability.ONCE,
         stream=True,
         resumable=resumable,
         timeout_s=TIMEOUT_S,
         target_s=1.0,
         patience_s=patience_s,
         rank=0,
-        shares=(Share(service="s", weight=1.0),),
+        traffic_split=(TrafficShare(service="s", weight=1.0),),
         attempts_max=attempts_max,
     )
     now_s = time.monotonic()
--- a/features/steps/direct_limits_steps.py
+++ b/features/steps/direct_limits_steps.py
@@ -29,7 +29,7 @@
         per_s=float(per_s),
         burst=float(burst),
         counts_tokens=True,
-        plain_tokens=1,
+        default_tokens=1,
     )
     context.hearing = True
     context.tolerance = Tolerance()
--- a/features/steps/direct_line_steps.py
+++ b/features/steps/direct_line_steps.py
@@ -330,7 +330,7 @@
             per_s=0.0,
             burst=0.0,
             counts_tokens=True,
-            plain_tokens=1,
+            default_tokens=1,
         )
         for rank in ranks
     )
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -94,7 +94,7 @@
         age_s=0.1,
         state=SharedState(address=entry.whereabouts.address, number=1_000_000),
     )
-    for letter in entry.talk.farewell():
+    for letter in entry.talk.leave_messages():
         fleet.send(entry, letter)
     entry.is_down = True
     fleet.run(LATE_S)
@@ -175,7 +175,7 @@
         per_s=100.0,
         burst=100.0,
         counts_tokens=True,
-        plain_tokens=1,
+        default_tokens=1,
     )
     quota = context.entry.office._quota
     quota.reconfigure((context.customer,), now_s=0.0)
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -18,7 +18,7 @@
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.opening import Opening
-from lavenderspoke.direct.peerlink import PeerLink
+from lavenderspoke.direct.peerlink import PeerLinkLoader
 from lavenderspoke.direct.quota import Tolerance
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.direct.sharing import Whereabouts
@@ -77,20 +77,20 @@
     def alive(self) -> bool:
         return self._running
 
-    def tell(self, name, message) -> None:
+    def send_to_peer(self, name, message) -> None:
         self.told.append(name)
 
 
 @given("a link to the other entries that takes a while to load")
 def step_slow_link(context):
     context.link = SlowLink()
-    context.part = PeerLink(load=context.link.load)
+    context.part = PeerLinkLoader(load=context.link.load)
 
 
 @given("a link to the other entries that fails at first")
 def step_failing_link(context):
     context.link = SlowLink(failures=1)
-    context.part = PeerLink(load=context.link.load)
+    context.part = PeerLinkLoader(load=context.link.load)
 
 
 @when("its part is started")
@@ -101,7 +101,7 @@
 @when("the link has been loaded")
 def step_link_loaded(context):
     context.link.go.set()
-    context.part.loaded(ANSWER_WAIT_S)
+    context.part.wait_loaded(ANSWER_WAIT_S)
 
 
 @when("its part is stopped, and the link has been loaded")
@@ -113,13 +113,13 @@
 @then("the part is alive at once, and what is told meanwhile is dropped")
 def step_alive_at_once(context):
     assert context.part.alive()
-    context.part.tell("entry-2", None)
+    context.part.send_to_peer("entry-2", None)
     assert context.link.told == []
 
 
 @then("it was started once, and what is told then is sent")
 def step_started_once(context):
-    context.part.tell("entry-2", None)
+    context.part.send_to_peer("entry-2", None)
     assert context.link.starts == 1 and context.link.told == ["entry-2"]
     context.part.stop()
     assert not context.part.alive()
@@ -134,7 +134,7 @@
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
-    context.part.loaded(ANSWER_WAIT_S)
+    context.part.wait_loaded(ANSWER_WAIT_S)
     assert context.part.alive() and context.link.starts == 1
 
 
@@ -278,7 +278,7 @@
         per_s=float(per_s),
         burst=0.0,
         counts_tokens=True,
-        plain_tokens=1,
+        default_tokens=1,
     )
     tolerance = Tolerance(tokens=float(tolerated))
     context.offices = {
--- a/features/steps/direct_stop_steps.py
+++ b/features/steps/direct_stop_steps.py
@@ -9,7 +9,7 @@
 
 from features.rawhttp import WAIT_S, wait_for
 from lavenderspoke.clock import ManualClock
-from lavenderspoke.direct.daemon import TURNED_AWAY_S, DirectEntry
+from lavenderspoke.direct.daemon import DRAIN_ACCEPT_S, DirectEntry
 from lavenderspoke.direct.settings import Address, DirectSettings
 from lavenderspoke.platform.wire import PlatformDialect
 from standins.processes import HOST, free_port
@@ -96,7 +96,7 @@
         self.entry._on_stop(signal.SIGTERM, None)
         looks = self.clock.looks
         wait_for(lambda: self.clock.looks > looks + 1, "the drain has begun")
-        self.clock.advance(TURNED_AWAY_S)
+        self.clock.advance(DRAIN_ACCEPT_S)
 
     def stays(self) -> bool:
         """Return whether it stays for some more looks at what is in flight."""
--- a/features/steps/platform_words_steps.py
+++ b/features/steps/platform_words_steps.py
@@ -13,9 +13,9 @@
 
 from features.helper import JSON, fuzz
 from lavenderspoke.clock import ManualClock
-from lavenderspoke.direct.catalog import Repeat
+from lavenderspoke.direct.catalog import Repeatability
 from lavenderspoke.direct.dialect import CallerHead
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.records import KeyedRecord
 from lavenderspoke.platform import configuration, settings, store
@@ -114,10 +114,10 @@
     catalog = configuration.decode(encoded(content)).unwrap()
     assert catalog.version == 3
     once = catalog.route_for("tours.example", "/pay/1")
-    assert once.repeat is Repeat.ONCE and not once.repeatable
+    assert once.repeatability is Repeatability.ONCE and not once.retryable
     stream = catalog.route_for("TOURS.example", "/stream/1")
-    assert stream.repeatable and stream.timeout_s == 5.0 and stream.patience_s == 3.2
-    shares = catalog.route_for("tours.example", "/split/").shares
+    assert stream.retryable and stream.timeout_s == 5.0 and stream.patience_s == 3.2
+    shares = catalog.route_for("tours.example", "/split/").traffic_split
     assert [(each.service, each.weight) for each in shares] == [
         ("a", 90.0),
         ("b", 10.0),
@@ -260,8 +260,8 @@
     assert names(registry, 10.0 + seconds) == ["a"]
 
 
-def in_force(clock: ManualClock) -> InForce:
-    force = InForce(clock=clock, key_age_max_s=4.0)
+def in_force(clock: ManualClock) -> CatalogInForce:
+    force = CatalogInForce(clock=clock, key_age_max_s=4.0)
     force.offer(configuration.decode(encoded(example(5))).unwrap())
     return force
 
@@ -327,11 +327,11 @@
 def step_sent(context):
     clock = ManualClock(start_s=10.0)
     force = in_force(clock)
-    assert not force.fresh()
+    assert not force.is_fresh()
     force.confirm(7.0)
-    assert force.fresh()
+    assert force.is_fresh()
     clock.advance(1.5)
-    assert not force.fresh()
+    assert not force.is_fresh()
 
 
 @then("a suspension of the machine counts")
@@ -340,7 +340,7 @@
     force = in_force(clock)
     force.confirm(0.0)
     clock.advance(30.0)
-    assert not force.fresh()
+    assert not force.is_fresh()
 
 
 @then("an older version never replaces a newer one")
--- a/features/steps/refused_resources_steps.py
+++ b/features/steps/refused_resources_steps.py
@@ -152,7 +152,7 @@
         me=InstanceId(name="entry-1", incarnation="a1"),
         listen=Address(host=HOST, port=port),
         office=mock.Mock(gone_peers=list),
-        talk=mock.Mock(tick=list, farewell=list),
+        dissemination=mock.Mock(tick=list, leave_messages=list),
         metrics=Metrics(),
         on_records=lambda sender, message: None,
     )
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -14,7 +14,7 @@
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.desk import Outcome
-from lavenderspoke.direct.records import KeyedRecord, Records
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch
 from lavenderspoke.direct.rolling import Answer
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.direct.tickets import Dispatch, Ticket
@@ -305,13 +305,15 @@
         on_withdrawn=withdraw,
         metrics=Metrics(),
     )
-    context.orders.take(Records(records=(ORDER_RECORD,), next_offset=4), whole=True)
+    context.orders.take(RecordBatch(records=(ORDER_RECORD,), next_offset=4), whole=True)
 
 
 @when("all records are read twice without it")
 def step_read_without(context):
     for next_offset in (6, 9):
-        context.orders.take(Records(records=(), next_offset=next_offset), whole=True)
+        context.orders.take(
+            RecordBatch(records=(), next_offset=next_offset), whole=True
+        )
 
 
 @then("it is withdrawn once")
@@ -321,7 +323,9 @@
 
 @when("the dropped record is shown once more by a read that came late")
 def step_shown_again(context):
-    context.orders.take(Records(records=(ORDER_RECORD,), next_offset=4), whole=False)
+    context.orders.take(
+        RecordBatch(records=(ORDER_RECORD,), next_offset=4), whole=False
+    )
 
 
 @then("the roll-out stays stopped")
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -8,11 +8,16 @@
 from behave import given, step, then, when
 from result import Err, Ok
 
-from lavenderspoke.direct.feed import CALLS, CallReason
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.feed import STORE_CALLS, CallReason
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import RecordsAsked, RecordsTold
-from lavenderspoke.direct.records import Forgotten, KeyedRecord, Records, StoreError
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.records import (
+    KeyedRecord,
+    OffsetExpired,
+    RecordBatch,
+    StoreError,
+)
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.feeds import (
@@ -81,7 +86,7 @@
             self.largest_bytes = max(self.largest_bytes, size)
         if not {sender, name} & self.cut_off:
             who = InstanceId(name=sender, incarnation="1")
-            self.entries[name].relay.heard(who, message)
+            self.entries[name].relay.handle_message(who, message)
             self.entries[name].end_pause()
 
 
@@ -103,16 +108,16 @@
         records = self._world.topics.get(topic, [])
         newest = {record.key: record for record in records}
         present = tuple(r for r in newest.values() if r.value is not None)
-        return Ok(Records(records=present, next_offset=len(records)))
+        return Ok(RecordBatch(records=present, next_offset=len(records)))
 
     def read(self, topic: str, from_offset: int, *, wait_s: float):
         if error := self._call():
             return Err(error)
         if from_offset < self._world.forgotten_before:
-            return Ok(Forgotten(first_offset=self._world.forgotten_before))
+            return Ok(OffsetExpired(first_offset=self._world.forgotten_before))
         records = self._world.topics.get(topic, [])
         return Ok(
-            Records(records=tuple(records[from_offset:]), next_offset=len(records))
+            RecordBatch(records=tuple(records[from_offset:]), next_offset=len(records))
         )
 
 
@@ -122,21 +127,21 @@
     def __init__(self, *, world: World, name: str, feed: str):
         self.name = name
         self.upstreams: tuple = ()
-        self.in_force = InForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
+        self.in_force = CatalogInForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
         self.metrics = Metrics()
         self._world = world
         self._turning = False
         self._turns = 0
         self._held = False
         self.relay = Relay(
-            peering=Peering(
+            peers=PeerAccess(
                 name=name,
-                heard=lambda: [
+                live_peer_names=lambda: [
                     n
                     for n in world.entries
                     if n != name and not {n, name} & world.cut_off
                 ],
-                tell=lambda peer, message: world.send(name, peer, message),
+                send=lambda peer, message: world.send(name, peer, message),
             ),
             clock=world,
             random=Random(name),
@@ -197,10 +202,10 @@
             return
         calls = self._world.calls[self.name]
         self._turning = True
-        pause_s = self.feed.turn()
+        pause_s = self.feed.run_once()
         read = self._world.calls[self.name] > calls
         # The fake answers at once where the store would hold a read back.
-        held_s = self.feed._wait_s() if read else 0.0
+        held_s = self.feed._long_poll_s() if read else 0.0
         self._held = held_s > 0.0
         if read and self.name in self._world.unanswered:
             self._world.at(
@@ -239,7 +244,7 @@
 def step_all_fresh(context):
     for entry in context.world.entries.values():
         assert entry.in_force.catalog.version == 1
-        assert entry.in_force.fresh(), entry.name
+        assert entry.in_force.is_fresh(), entry.name
 
 
 @then(
@@ -265,7 +270,7 @@
     for name, entry in context.world.entries.items():
         counts = {
             reason.value: entry.metrics.counter(
-                CALLS, f"{entry.feed.topic}:{reason.value}"
+                STORE_CALLS, f"{entry.feed.topic}:{reason.value}"
             )
             for reason in CallReason
         }
@@ -360,7 +365,9 @@
     context.stale = set()
     for _ in range(round(seconds / STEP_S)):
         world.run(STEP_S)
-        context.stale |= {n for n, e in world.entries.items() if not e.in_force.fresh()}
+        context.stale |= {
+            n for n, e in world.entries.items() if not e.in_force.is_fresh()
+        }
 
 
 @when("the store turns away the last {count:d} entries from now on")
@@ -382,7 +389,7 @@
 @then("nobody may honour keys")
 def step_all_stale(context):
     for entry in context.world.entries.values():
-        assert not entry.in_force.fresh(), entry.name
+        assert not entry.in_force.is_fresh(), entry.name
 
 
 @when("an entry that is cut off from all hears an answer {seconds:d} s after it asked")
@@ -391,19 +398,19 @@
     context.entry = entry = world.entries["entry-5"]
     asked = RecordsAsked(
         topic=CONFIGURATION_TOPIC,
-        from_offset=entry.feed.shelf.next_offset,
+        from_offset=entry.feed.cache.next_offset,
         asked_s=world.now_s,
     )
-    told = world.entries["entry-0"].feed.shelf.told(asked, world.now_s)
+    told = world.entries["entry-0"].feed.cache.reply_to(asked, world.now_s)
     world.cut_off = {entry.name}
     world.run(seconds)
     peer = InstanceId(name="entry-0", incarnation="1")
-    entry.relay.heard(peer, told)
+    entry.relay.handle_message(peer, told)
 
 
 @then("that entry may not honour keys")
 def step_entry_stale(context):
-    assert not context.entry.in_force.fresh()
+    assert not context.entry.in_force.is_fresh()
 
 
 @when("an entry hears an answer from before version 2, which it has in force")
@@ -419,7 +426,7 @@
         records=(("config", json.dumps(configuration(1)).encode(), 0),),
     )
     step_version(context, 2, 2.0)
-    entry.relay.heard(InstanceId(name="entry-0", incarnation="1"), old)
+    entry.relay.handle_message(InstanceId(name="entry-0", incarnation="1"), old)
     context.version_age_s = entry.in_force.age_s()
 
 
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -14,12 +14,12 @@
 from lavenderspoke.clock import ManualClock, SystemClock
 from lavenderspoke.codec import Codec
 from lavenderspoke.direct.exchange import Sending
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import DirectMessage
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.pool import Demand
-from lavenderspoke.direct.records import KeyedRecord, Records
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.direct.verdicts import RESTART_SETTLED_S
@@ -231,12 +231,14 @@
 
 def feeds() -> list:
     relay = Relay(
-        peering=Peering(name="e", heard=list, tell=lambda name, message: None),
+        peers=PeerAccess(
+            name="e", live_peer_names=list, send=lambda name, message: None
+        ),
         clock=SystemClock(),
         random=Random(1),
     )
     common = dict(store=NoStore(), clock=SystemClock(), relay=relay, metrics=Metrics())
-    in_force = InForce(clock=SystemClock(), key_age_max_s=4.0)
+    in_force = CatalogInForce(clock=SystemClock(), key_age_max_s=4.0)
     return [
         UpstreamsFeed(drain_s=2.0, on_change=lambda new: None, **common),
         EntriesFeed(
@@ -274,11 +276,11 @@
         nonlocal offset
         key, content = drawn
         offset += 1
-        records = Records(
+        records = RecordBatch(
             records=(record(key, offset, content),), next_offset=offset + 1
         )
         for feed in targets:
-            feed.take(records, whole=False, sent_s=0.0)
+            feed.apply(records, is_snapshot=False, sent_s=0.0)
 
     fuzz(strategies.tuples(keys, contents), take)
     codec = Codec(messages=DirectMessage)
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -17,7 +17,7 @@
 from lavenderspoke.direct.dialect import CallerHead, Dialect
 from lavenderspoke.direct.exchange import AnswerCut
 from lavenderspoke.direct.handling import Handling
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.refusals import not_run
@@ -75,7 +75,7 @@
         self,
         *,
         opening: Opening,
-        in_force: InForce,
+        in_force: CatalogInForce,
         office: Office,
         dialect: Dialect,
         watch: CallerWatch,
@@ -224,7 +224,7 @@
     ) -> Result[Customer | None, Problem]:
         if route.anonymous or not catalog.needs_key:
             return Ok(None)
-        if not self._in_force.fresh():
+        if not self._in_force.is_fresh():
             detail = "the keys were read too long ago"
             return Err(not_run(Reason.KEYS_STALE, detail, SOON_S))
         customer = catalog.customer_for(head.key) if head.key else None
--- a/lavenderspoke/direct/catalog.py
+++ b/lavenderspoke/direct/catalog.py
@@ -9,7 +9,7 @@
 import attrs
 
 
-class Repeat(enum.Enum):
+class Repeatability(enum.Enum):
     """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Share:
+class TrafficShare:
     """The part of a route's requests that one service gets, by weight."""
 
     service: str
@@ -38,21 +38,23 @@
     name: str
     host: str
     path_prefix: str
-    repeat: Repeat
+    repeatability: Repeatability
     stream: bool
     resumable: bool
     timeout_s: float
     target_s: float
     patience_s: float
     rank: int
-    shares: tuple[Share, ...]
+    traffic_split: tuple[TrafficShare, ...]
     attempts_max: int
     anonymous: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a second run does no harm."""
-        return self.repeat is Repeat.IDEMPOTENT or (self.stream and self.resumable)
+        return self.repeatability is Repeatability.IDEMPOTENT or (
+            self.stream and self.resumable
+        )
 
 
 @attrs.frozen(kw_only=True)
@@ -80,7 +82,7 @@
 
     `per_s` and `burst` are in tokens, or in requests when `counts_tokens` is
     false; a `per_s` of 0 means no limit. A request that states no tokens counts
-    as `plain_tokens`.
+    as `default_tokens`.
     """
 
     name: str
@@ -89,13 +91,13 @@
     per_s: float
     burst: float
     counts_tokens: bool
-    plain_tokens: int
+    default_tokens: int
 
     def cost(self, tokens: int | None) -> float:
         """Return what one request counts against the limit."""
         if not self.counts_tokens:
             return 1.0
-        return float(self.plain_tokens if tokens is None else tokens)
+        return float(self.default_tokens if tokens is None else tokens)
 
 
 @attrs.frozen(kw_only=True, eq=False)
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -15,11 +15,11 @@
 from lavenderspoke.direct.app import DirectApp
 from lavenderspoke.direct.catalog import Catalog
 from lavenderspoke.direct.dialect import Dialect
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import RecordsMessage
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.opening import Opening
-from lavenderspoke.direct.peerlink import Link, PeerLink
+from lavenderspoke.direct.peerlink import PeerLink, PeerLinkLoader
 from lavenderspoke.direct.readiness import ReadinessServer
 from lavenderspoke.direct.server import CallerPart
 from lavenderspoke.direct.settings import KEY_MARGIN_S, Bounds, DirectSettings
@@ -33,7 +33,7 @@
 # Requests are taken for so long after the signal to stop, in seconds. The balancer
 # asks once a second and turns callers away after two refusals; what comes later
 # than three seconds could not be finished in the grace time if it is long.
-TURNED_AWAY_S = 2.6
+DRAIN_ACCEPT_S = 2.6
 # The stop ends this long, in seconds, before the process would be killed.
 STOP_MARGIN_S = 0.9
 DRAIN_POLL_S = 0.05
@@ -47,7 +47,7 @@
     def parts(self) -> list[tuple[str, Part]]:
         """Return the parts that follow the platform."""
 
-    def heard(self, sender: InstanceId, message: RecordsMessage) -> None:
+    def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
         """Take in what another entry asks or tells about the platform's records."""
 
     def leave(self) -> None:
@@ -80,7 +80,7 @@
             data_centre=settings.data_centre,
         )
         bounds = settings.bounds
-        self.in_force = InForce(
+        self.in_force = CatalogInForce(
             clock=clock, key_age_max_s=bounds.revoke_s - KEY_MARGIN_S
         )
         self.office = Office(
@@ -106,7 +106,7 @@
         self._readiness = ReadinessServer(
             address=settings.readiness, ready=self.ready, metrics=self.metrics
         )
-        self._peers = PeerLink(load=self._load_gossip)
+        self._peers = PeerLinkLoader(load=self._load_gossip)
         self._feeds: Feeds | None = None
         self._told_to_stop = threading.Event()
         self._supervisor: Supervisor | None = None
@@ -123,7 +123,7 @@
             not self._app.draining
             and self._opening.is_over()
             and self.in_force.catalog is not None
-            and self.in_force.fresh()
+            and self.in_force.is_fresh()
             and self.office.has_upstreams()
         )
 
@@ -145,28 +145,28 @@
         self.in_force.key_age_max_s = bounds.revoke_s - KEY_MARGIN_S
         self.office.reload(bounds)
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
         """Send another entry a message about records, if it can be reached."""
-        self._peers.tell(name, message)
+        self._peers.send_to_peer(name, message)
 
-    def _load_gossip(self) -> Link:
-        # Imported only here: see `PeerLink`.
+    def _load_gossip(self) -> PeerLink:
+        # Imported only here: see `PeerLinkLoader`.
+        from lavenderspoke.direct.dissemination import Dissemination
         from lavenderspoke.direct.gossip import Gossip
-        from lavenderspoke.direct.talk import Talk
 
-        talk = Talk(me=self.me, office=self.office, clock=self.clock)
+        talk = Dissemination(me=self.me, office=self.office, clock=self.clock)
         return Gossip(
             me=self.me,
             listen=self.settings.peers,
             office=self.office,
-            talk=talk,
+            dissemination=talk,
             metrics=self.metrics,
             on_records=self._on_records,
         )
 
     def _on_records(self, sender: InstanceId, message: RecordsMessage) -> None:
         if self._feeds is not None:
-            self._feeds.heard(sender, message)
+            self._feeds.handle_message(sender, message)
 
     def run(self, feeds: Feeds) -> int:
         """Run until told to stop; return the process's exit status."""
@@ -217,7 +217,7 @@
         """Once told to, finish what came before the balancer turned away, and stop."""
         self._told_to_stop.wait()
         started_s = self.clock.monotonic_s()
-        turned_away_s = started_s + TURNED_AWAY_S
+        turned_away_s = started_s + DRAIN_ACCEPT_S
         latest_s = started_s + self.office.bounds.grace_s - STOP_MARGIN_S
         log.info("stopping", in_flight=self._callers.in_flight())
         self._feeds.leave()
--- a/lavenderspoke/direct/talk.py
+++ b/lavenderspoke/direct/dissemination.py
@@ -1,7 +1,7 @@
 """What an entry tells the others, whom, and when.
 
 Neighbours are told what this entry shares each 20 to 60 ms while it changes. What
-neighbours told is passed on to the other groups each 80 ms and more; `spreading` says
+neighbours told is passed on to the other groups each 80 ms and more; `topology` says
 by whom. Others are told directly only when they are first known, so that each knows of
 each, and when this entry leaves.
 """
@@ -20,7 +20,7 @@
 )
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.sharing import Whereabouts
-from lavenderspoke.direct.spreading import Spreading
+from lavenderspoke.direct.topology import GossipTopology
 from lavenderspoke.model import InstanceId
 
 # So many neighbours more make it one tick longer between two messages to them: each
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Letter:
+class OutgoingMessage:
     """A message for one entry."""
 
     name: str
@@ -55,17 +55,18 @@
     state: SharedState
 
 
-class Talk:
+class Dissemination:
     """An entry's part in the talk between entries.
 
-    `tick` and `farewell` belong to one thread, `heard` may be called from another.
+    `tick` and `leave_messages` belong to one thread, `receive` may be called from
+    another.
     """
 
     def __init__(self, *, me: InstanceId, office: Office, clock: Clock):
         self._me = me
         self._office = office
         self._clock = clock
-        self._spreading = Spreading(
+        self._spreading = GossipTopology(
             name=me.name, data_centre=office.whereabouts.data_centre
         )
         self._ticks = 0
@@ -76,32 +77,33 @@
         self._pending: dict[str, _Pending] = {}
         self._lock = threading.Lock()
 
-    def tick(self) -> list[Letter]:
+    def tick(self) -> list[OutgoingMessage]:
         """Serve the lines again and return what is to be told now."""
         self._ticks += 1
         self._office.tick()
         known = self._office.known_peers()
-        self._spreading.arrange(
-            {name: each.data_centre for name, each in known.items()}
-        )
+        self._spreading.update({name: each.data_centre for name, each in known.items()})
         letters = []
         own_ticks = 1 + len(self._spreading.neighbours) // NEIGHBOURS_PER_TICK
         if self._ticks % own_ticks == 0:
             letters += self._own_news(known, own_ticks)
-        if self._spreading.others and self._ticks % _pass_on_ticks(len(known)) == 0:
+        if (
+            self._spreading.other_groups
+            and self._ticks % _pass_on_ticks(len(known)) == 0
+        ):
             letters += self._pass_on(known)
         return letters
 
-    def farewell(self) -> list[Letter]:
+    def leave_messages(self) -> list[OutgoingMessage]:
         """Return what all others are told when this entry leaves."""
         state, *evidence = self._office.news(leaving=True)
         known = self._office.known_peers()
         messages = (self._numbered(state), *evidence)
         return [letter for each in messages for letter in _letters(each, known)]
 
-    def heard(
+    def receive(
         self, sender: InstanceId, message: SharedState | GroupStates
-    ) -> list[Letter]:
+    ) -> list[OutgoingMessage]:
         """Take in what another entry tells; return what is to be passed on at once."""
         if isinstance(message, GroupStates):
             self._office.heard_passed_on(message.states)
@@ -111,7 +113,9 @@
             self._note(sender, message)
         return []
 
-    def _own_news(self, known: Mapping[str, Whereabouts], ticks: int) -> list[Letter]:
+    def _own_news(
+        self, known: Mapping[str, Whereabouts], ticks: int
+    ) -> list[OutgoingMessage]:
         state, *evidence = self._office.news(leaving=False)
         self._quiet_ticks += ticks
         recipients = self._strangers(known)
@@ -153,7 +157,7 @@
                 sender=sender, at_s=self._clock.monotonic_s(), state=state
             )
 
-    def _pass_on(self, known: Mapping[str, Whereabouts]) -> list[Letter]:
+    def _pass_on(self, known: Mapping[str, Whereabouts]) -> list[OutgoingMessage]:
         """Return what this entry's group told, for those groups that it speaks to."""
         with self._lock:
             pending, self._pending = self._pending, {}
@@ -161,8 +165,8 @@
         heard = set(self._office.heard_names())
         groups = [
             group
-            for group in self._spreading.others
-            if self._spreading.speaks_to(group, speaking)
+            for group in self._spreading.other_groups
+            if self._spreading.forwards_to(group, speaking)
         ]
         if not pending or not groups:
             return []
@@ -172,10 +176,10 @@
             for each in pending.values()
         )
         message = GroupStates(states=states, to_neighbours=True)
-        listeners = [self._spreading.listener(group, heard) for group in groups]
+        listeners = [self._spreading.next_recipient(group, heard) for group in groups]
         return _letters(message, _named([n for n in listeners if n], known))
 
-    def _to_neighbours(self, message: GroupStates) -> list[Letter]:
+    def _to_neighbours(self, message: GroupStates) -> list[OutgoingMessage]:
         if not message.to_neighbours:
             return []
         known = self._office.known_peers()
@@ -207,8 +211,8 @@
 
 def _letters(
     message: DirectMessage, recipients: Mapping[str, Whereabouts]
-) -> list[Letter]:
+) -> list[OutgoingMessage]:
     return [
-        Letter(name=name, address=each.address, message=message)
+        OutgoingMessage(name=name, address=each.address, message=message)
         for name, each in recipients.items()
     ]
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -12,13 +12,18 @@
 from result import Err
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.records import Forgotten, Records, RecordStore, StoreError
-from lavenderspoke.direct.relay import Relay, Shelf
+from lavenderspoke.direct.records import (
+    OffsetExpired,
+    RecordBatch,
+    RecordStore,
+    StoreError,
+)
+from lavenderspoke.direct.relay import RecordCache, Relay
 from lavenderspoke.observing.metrics import Metrics
 
 # Pause after a call that failed, in seconds.
 RETRY_PAUSE_S = 0.2
-CALLS = "store_calls"
+STORE_CALLS = "store_calls"
 
 log = logbook.Logger(__name__)
 
@@ -39,23 +44,23 @@
 class Feed:
     """A feed follows one topic on a thread of its own.
 
-    `stale_s` is how old its knowledge may get, in seconds, before it reads the
-    store although other entries do; `ask_s` is the time between two questions to
-    them. The others are told of `urgent` news at once. `reread_s` is how old the
-    last news may get, in seconds, before it reads those that are too large to be
-    passed on.
+    `stale_after_s` is how old its knowledge may get, in seconds, before it reads the
+    store although other entries do; `query_interval_s` is the time between two
+    questions to them. The others are told of `urgent` news at once. `reread_after_s`
+    is how old the last news may get, in seconds, before it reads those that are too
+    large to be passed on.
     """
 
     topic = ""
     urgent = False
-    stale_s = 0.0
-    ask_s = 0.0
-    reread_s = 0.0
+    stale_after_s = 0.0
+    query_interval_s = 0.0
+    reread_after_s = 0.0
 
     def __init__(
         self, *, store: RecordStore, clock: Clock, relay: Relay, metrics: Metrics
     ):
-        self.shelf = Shelf()
+        self.cache = RecordCache()
         self._store = store
         self._clock = clock
         self._relay = relay
@@ -71,7 +76,7 @@
         # Set to end a pause early.
         self._wake = threading.Event()
         self._thread: threading.Thread | None = None
-        relay.serve(self)
+        relay.register(self)
 
     def start(self) -> None:
         """Begin to follow."""
@@ -99,32 +104,34 @@
         if whole:
             read = self._store.newest(self.topic)
         else:
-            offset = self.shelf.next_offset
-            read = self._store.read(self.topic, offset, wait_s=self._wait_s())
+            offset = self.cache.next_offset
+            read = self._store.read(self.topic, offset, wait_s=self._long_poll_s())
         if isinstance(read, Err):
-            self._failed(read.err_value)
+            self._note_failure(read.err_value)
             return False
         self._answered()
         content = read.ok_value
-        if isinstance(content, Forgotten):
+        if isinstance(content, OffsetExpired):
             log.info("records are gone", topic=self.topic, offset=offset)
             self._from_newest = True
             return self.poll()
         if content.skipped:
             log.warning("records skipped", topic=self.topic, count=content.skipped)
-        known = self.shelf.next_offset
-        if not self._take(content, whole=whole, sent_s=sent_s):
+        known = self.cache.next_offset
+        if not self._apply_and_cache(content, is_snapshot=whole, sent_s=sent_s):
             return False
         if content.next_offset > (known or 0):
-            self._relay.announce(self)
+            self._relay.notify_peers(self)
         return True
 
-    def learn(self, content: Records, *, whole: bool, sent_s: float) -> None:
+    def apply_relayed(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
+    ) -> None:
         """Take in what another entry told; from the thread that hears it."""
-        self._take(content, whole=whole, sent_s=sent_s)
+        self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s)
 
-    def read_soon(self) -> None:
-        """Read the store once `reread_s` allows it, in place of the next question.
+    def schedule_read(self) -> None:
+        """Read the store once `reread_after_s` allows, in place of the next question.
 
         In a quick succession of large versions, one read brings several of them.
         """
@@ -132,22 +139,24 @@
             self._read_next = True
             self._wake.set()
 
-    def take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
+    def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
         """Take records in; `whole` when they are the newest of every key.
 
         Returns False when they make no sense, and are to be read again.
         """
         raise NotImplementedError
 
-    def failed(self) -> None:
+    def on_read_failed(self) -> None:
         """The store couldn't be read."""
 
-    def _take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
+    def _apply_and_cache(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
+    ) -> bool:
         with self._taking:
-            if not self.take(content, whole=whole, sent_s=sent_s):
+            if not self.apply(batch, is_snapshot=is_snapshot, sent_s=sent_s):
                 return False
-            self.shelf.put(content, whole=whole, sent_s=sent_s)
-            if content.records:
+            self.cache.put(batch, is_snapshot=is_snapshot, sent_s=sent_s)
+            if batch.records:
                 self._news_s = max(self._news_s, sent_s)
             self._from_newest = False
             return True
@@ -155,7 +164,7 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             try:
-                pause_s = self.turn()
+                pause_s = self.run_once()
             except Exception:
                 log.exception("feed failed", topic=self.topic)
                 pause_s = RETRY_PAUSE_S
@@ -163,23 +172,23 @@
                 self._wake.wait(pause_s)
             self._wake.clear()
 
-    def turn(self) -> float:
+    def run_once(self) -> float:
         """Learn what is new and return the pause after it in seconds."""
-        if self._relies_on_others():
+        if self._relies_on_peers():
             if not self._read_next:
-                self._relay.ask_reader(self.topic)
-            return min(self.ask_s, self._relies_for_s())
+                self._relay.query_reader(self.topic)
+            return min(self.query_interval_s, self._relies_for_s())
         if self._failing:
             # The store may turn this entry away and serve others; their answers
             # come while its own read waits for its time to run out.
-            self._relay.ask_anyone(self.topic)
+            self._relay.query_any_peer(self.topic)
         if self.poll():
             return self._period_s()
-        self._relay.ask_anyone(self.topic)
+        self._relay.query_any_peer(self.topic)
         return max(RETRY_PAUSE_S, self._period_s())
 
-    def _relies_on_others(self) -> bool:
-        if self._from_newest or not self._relay.follows():
+    def _relies_on_peers(self) -> bool:
+        if self._from_newest or not self._relay.is_follower():
             return False
         return self._relies_for_s() > 0.0
 
@@ -188,28 +197,28 @@
         if not self._read_next:
             return self._fresh_for_s()
         news_age_s = self._clock.monotonic_s() - self._news_s
-        return min(self._fresh_for_s(), self.reread_s - news_age_s)
+        return min(self._fresh_for_s(), self.reread_after_s - news_age_s)
 
     def _read_reason(self) -> CallReason:
         if self._failing:
             return CallReason.RETRY
         if self._from_newest:
-            known = self.shelf.next_offset is not None
+            known = self.cache.next_offset is not None
             return CallReason.FORGOTTEN if known else CallReason.FIRST
         if self._relay.is_alone():
             return CallReason.ALONE
-        if not self._relay.follows():
+        if not self._relay.is_follower():
             return CallReason.READER
         return CallReason.TOO_LARGE if self._read_next else CallReason.STALE
 
     def _count_call(self, reason: CallReason) -> None:
-        self._metrics.count(CALLS, f"{self.topic}:{reason.value}")
+        self._metrics.count(STORE_CALLS, f"{self.topic}:{reason.value}")
 
     def _fresh_for_s(self) -> float:
         """Return how long what is known may still be relied on, in seconds."""
-        return self.stale_s - self.shelf.age_s(self._clock.monotonic_s())
+        return self.stale_after_s - self.cache.age_s(self._clock.monotonic_s())
 
-    def _wait_s(self) -> float:
+    def _long_poll_s(self) -> float:
         """Return how long the store may hold a read, in seconds."""
         return 0.0
 
@@ -217,11 +226,11 @@
         """Return the time between two reads, in seconds."""
         return 0.0
 
-    def _failed(self, error: StoreError) -> None:
+    def _note_failure(self, error: StoreError) -> None:
         if not self._failing:
             log.warning("store lost", topic=self.topic, error=error.detail)
         self._failing = True
-        self.failed()
+        self.on_read_failed()
 
     def _answered(self) -> None:
         if self._failing:
--- a/lavenderspoke/direct/gossip.py
+++ b/lavenderspoke/direct/gossip.py
@@ -7,6 +7,7 @@
 import pynng
 
 from lavenderspoke.codec import Codec, CodecError
+from lavenderspoke.direct.dissemination import Dissemination, OutgoingMessage
 from lavenderspoke.direct.messages import (
     DirectMessage,
     GroupStates,
@@ -15,7 +16,6 @@
 )
 from lavenderspoke.direct.office import Office
 from lavenderspoke.direct.settings import Address
-from lavenderspoke.direct.talk import Letter, Talk
 from lavenderspoke.envelope import Envelope
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
@@ -38,14 +38,14 @@
         me: InstanceId,
         listen: Address,
         office: Office,
-        talk: Talk,
+        dissemination: Dissemination,
         metrics: Metrics,
         on_records: Callable[[InstanceId, RecordsMessage], None],
     ):
         self._me = me
         self._on_records = on_records
         self._office = office
-        self._talk = talk
+        self._talk = dissemination
         self._metrics = metrics
         self._transport = Transport(
             codec=Codec(messages=DirectMessage),
@@ -74,7 +74,7 @@
         self._stopping.set()
         if self._thread not in (None, threading.current_thread()):
             self._thread.join()
-        self._send_all(self._talk.farewell())
+        self._send_all(self._talk.leave_messages())
         self._transport.close()
 
     def alive(self) -> bool:
@@ -82,11 +82,13 @@
         running = self._thread is not None and self._thread.is_alive()
         return running and self._transport.alive()
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
         """Send one entry a message; it is dropped if that can't be reached."""
         peer = self._office.known_peers().get(name)
         if peer is not None:
-            self._send(Letter(name=name, address=peer.address, message=message))
+            self._send(
+                OutgoingMessage(name=name, address=peer.address, message=message)
+            )
 
     def _run(self) -> None:
         while not self._stopping.wait(TICK_S):
@@ -98,11 +100,11 @@
                 # The lines must go on being served, whatever one tick met.
                 log.exception("tick failed")
 
-    def _send_all(self, letters: list[Letter]) -> None:
+    def _send_all(self, letters: list[OutgoingMessage]) -> None:
         for letter in letters:
             self._send(letter)
 
-    def _send(self, letter: Letter) -> None:
+    def _send(self, letter: OutgoingMessage) -> None:
         recipient = InstanceId(name=letter.name, incarnation="")
         envelope = Envelope(
             sender=self._me, recipient=recipient, message=letter.message
@@ -121,7 +123,7 @@
             return
         message = envelope.message
         if isinstance(message, (SharedState, GroupStates)):
-            self._send_all(self._talk.heard(envelope.sender, message))
+            self._send_all(self._talk.receive(envelope.sender, message))
         elif isinstance(message, CrashEvidence):
             self._office.heard_of_crash(message)
         elif isinstance(message, RecordsMessage):
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -436,7 +436,7 @@
     def _may_run_again(self, uncounted: int = 0) -> bool:
         """Return whether one more upstream may run it; some runs aren't counted yet."""
         route = self.accepted.route
-        return route.repeatable and self.runs + uncounted < route.attempts_max
+        return route.retryable and self.runs + uncounted < route.attempts_max
 
     def _can_retry(self, attempt: _Attempt) -> bool:
         """Return whether the retry budget allows another attempt.
--- a/lavenderspoke/direct/inforce.py
+++ b/lavenderspoke/direct/inforce.py
@@ -10,7 +10,7 @@
 log = logbook.Logger(__name__)
 
 
-class InForce:
+class CatalogInForce:
     """The newest catalog read so far.
 
     Keys are honoured only while the last read is younger than `key_age_max_s`:
@@ -60,7 +60,7 @@
             return None
         return self._clock.monotonic_s() - self._confirmed_s
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether keys may be honoured now."""
         age_s = self.age_s()
         return age_s is not None and age_s < self.key_age_max_s
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -22,7 +22,7 @@
 from lavenderspoke.direct.refusals import not_run
 from lavenderspoke.direct.rolling import Rollouts, Wish
 from lavenderspoke.direct.scheduler import RETRY_AFTER_MIN_S, RETURN_PART, Scheduler
-from lavenderspoke.direct.settings import RETRY_PART, Bounds
+from lavenderspoke.direct.settings import RETRY_BUDGET_SHARE, Bounds
 from lavenderspoke.direct.sharing import Peers, Returns, Whereabouts
 from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.direct.tickets import Rank, Ticket
@@ -106,10 +106,10 @@
 
     def choose_service(self, route: Route) -> str:
         """Return the service for one request, by the route's weights."""
-        if len(route.shares) == 1:
-            return route.shares[0].service
-        weights = [share.weight for share in route.shares]
-        return self._random.choices(route.shares, weights)[0].service
+        if len(route.traffic_split) == 1:
+            return route.traffic_split[0].service
+        weights = [share.weight for share in route.traffic_split]
+        return self._random.choices(route.traffic_split, weights)[0].service
 
     def admit(self, accepted: Accepted) -> Result[Accepted, Problem]:
         """Check a request's content and its customer's limit."""
@@ -256,7 +256,9 @@
         """Take over customers' limits and the services that are in use."""
         with self._lock:
             self._services = frozenset(
-                share.service for route in catalog.routes for share in route.shares
+                share.service
+                for route in catalog.routes
+                for share in route.traffic_split
             )
             self._quota.reconfigure(catalog.customers, now_s=self._now_s())
 
@@ -475,9 +477,9 @@
 
     def _retry_budget(self) -> RetryBudget:
         bounds = self.bounds
-        slack = bounds.retry_slack * RETRY_PART / self._known
+        slack = bounds.retry_slack * RETRY_BUDGET_SHARE / self._known
         return RetryBudget(
-            ratio=bounds.retry_ratio * RETRY_PART,
+            ratio=bounds.retry_ratio * RETRY_BUDGET_SHARE,
             per_s_min=slack / bounds.retry_window_s,
         )
 
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -11,7 +11,7 @@
 log = logbook.Logger(__name__)
 
 
-class Link(Protocol):
+class PeerLink(Protocol):
     """What is loaded: a part that can also send one entry a message."""
 
     def start(self) -> None:
@@ -23,11 +23,11 @@
     def alive(self) -> bool:
         """Return whether the others are being heard and told."""
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
         """Send one entry a message; it is dropped if that can't be reached."""
 
 
-class PeerLink:
+class PeerLinkLoader:
     """The part of an entry that loads its link to the others and runs it.
 
     The link's libraries are a good part of all that is loaded at a start, and callers
@@ -36,9 +36,9 @@
     it has the link. `load` imports and returns it.
     """
 
-    def __init__(self, *, load: Callable[[], Link]):
+    def __init__(self, *, load: Callable[[], PeerLink]):
         self._load = load
-        self._link: Link | None = None
+        self._link: PeerLink | None = None
         self._stopped = False
         self._lock = threading.Lock()
         self._loader: threading.Thread | None = None
@@ -65,12 +65,12 @@
         loading = self._loader is not None and self._loader.is_alive()
         return loading or (self._link is not None and self._link.alive())
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
         """Send one entry a message; it is dropped if that can't be reached."""
         if self._link is not None:
-            self._link.tell(name, message)
+            self._link.send_to_peer(name, message)
 
-    def loaded(self, timeout_s: float) -> None:
+    def wait_loaded(self, timeout_s: float) -> None:
         """Wait until the link was loaded and started, or could not be."""
         if self._loader is not None:
             self._loader.join(timeout_s)
--- a/lavenderspoke/direct/quota.py
+++ b/lavenderspoke/direct/quota.py
@@ -75,7 +75,7 @@
 
     >>> quota = SharedQuota(window_s=1.0)
     >>> customer = Customer(name="c", keys=(), rank=0, per_s=2.0, burst=3.0,
-    ...     counts_tokens=False, plain_tokens=0)
+    ...     counts_tokens=False, default_tokens=0)
     >>> quota.reconfigure((customer,), now_s=0.0)
     >>> [quota.spend(customer, 1.0, rank=0, now_s=5.0) for _ in range(4)]
     [True, True, True, False]
--- a/lavenderspoke/direct/records.py
+++ b/lavenderspoke/direct/records.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Forgotten:
+class OffsetExpired:
     """The records asked for are gone; reading goes on at `first_offset`."""
 
     first_offset: int
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Records:
+class RecordBatch:
     """Records in order and the offset at which to read on.
 
     `skipped` counts those that could not be decoded.
@@ -44,10 +44,10 @@
 class RecordStore(Protocol):
     """A client of the log, for one thread."""
 
-    def newest(self, topic: str) -> Result[Records, StoreError]:
+    def newest(self, topic: str) -> Result[RecordBatch, StoreError]:
         """Return the newest record of each key of a topic."""
 
     def read(
         self, topic: str, from_offset: int, *, wait_s: float
-    ) -> Result[Records | Forgotten, StoreError]:
+    ) -> Result[RecordBatch | OffsetExpired, StoreError]:
         """Return the records from an offset on, waiting for one up to `wait_s`."""
--- a/lavenderspoke/direct/relay.py
+++ b/lavenderspoke/direct/relay.py
@@ -28,7 +28,7 @@
     RecordsNews,
     RecordsTold,
 )
-from lavenderspoke.direct.records import KeyedRecord, Records
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch
 from lavenderspoke.model import InstanceId
 
 # Entries that read the store while others ask them: one more than is needed, so
@@ -47,7 +47,7 @@
 log = logbook.Logger(__name__)
 
 
-class Shelf:
+class RecordCache:
     """The newest record of each key of one topic, and how old this knowledge is.
 
     Safe for threads. Times are in seconds on the clock that the caller passes in.
@@ -70,22 +70,22 @@
         """Return how long ago the read was sent that this rests on."""
         return float("inf") if self._read_s is None else now_s - self._read_s
 
-    def put(self, content: Records, *, whole: bool, sent_s: float) -> None:
+    def put(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> None:
         """Add what a read brought that was sent then."""
         with self._lock:
-            if whole and content.next_offset >= (self._next_offset or 0):
+            if is_snapshot and batch.next_offset >= (self._next_offset or 0):
                 self._newest.clear()
-                self._gap_offset = content.next_offset
-            for record in content.records:
+                self._gap_offset = batch.next_offset
+            for record in batch.records:
                 known = self._newest.get(record.key)
                 if known is None or known.offset < record.offset:
                     self._newest[record.key] = record
-            self._next_offset = max(self._next_offset or 0, content.next_offset)
+            self._next_offset = max(self._next_offset or 0, batch.next_offset)
             if self._read_s is None or sent_s > self._read_s:
                 self._read_s = sent_s
             self._forget_dropped()
 
-    def told(self, asked: RecordsAsked, now_s: float) -> RecordsTold | None:
+    def reply_to(self, asked: RecordsAsked, now_s: float) -> RecordsTold | None:
         """Return what to tell, or None when the asker knows more."""
         with self._lock:
             if self._next_offset is None or asked.from_offset > self._next_offset:
@@ -120,22 +120,24 @@
         self._gap_offset = max(record.offset for record in dropped) + 1
 
 
-class Follower(Protocol):
+class RelayedFeed(Protocol):
     """A feed that can learn from other entries."""
 
     topic: str
-    shelf: Shelf
+    cache: RecordCache
     urgent: bool
 
-    def learn(self, content: Records, *, whole: bool, sent_s: float) -> None:
+    def apply_relayed(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
+    ) -> None:
         """Take in what another entry told."""
 
-    def read_soon(self) -> None:
+    def schedule_read(self) -> None:
         """Read the store in place of the next question."""
 
 
 @attrs.frozen(kw_only=True)
-class Peering:
+class PeerAccess:
     """How an entry reaches the others.
 
     `heard()` names those that were heard just now, `tell(name, message)` sends one
@@ -143,28 +145,28 @@
     """
 
     name: str
-    heard: Callable[[], list[str]]
-    tell: Callable[[str, RecordsMessage], None]
+    live_peer_names: Callable[[], list[str]]
+    send: Callable[[str, RecordsMessage], None]
 
 
 class Relay:
     """Asks other entries for records, and answers them."""
 
-    def __init__(self, *, peering: Peering, clock: Clock, random: Random):
-        self._peering = peering
+    def __init__(self, *, peers: PeerAccess, clock: Clock, random: Random):
+        self._peers = peers
         self._clock = clock
         self._random = random
-        self._feeds: dict[str, Follower] = {}
+        self._feeds: dict[str, RelayedFeed] = {}
         self._was_following = False
         self._asked_s = float("-inf")
 
-    def serve(self, feed: Follower) -> None:
+    def register(self, feed: RelayedFeed) -> None:
         """Answer for a feed's topic, and pass answers on to it."""
         self._feeds[feed.topic] = feed
 
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         """Return whether other entries read the store for this one."""
-        following = self._peering.name not in self._readers()
+        following = self._peers.name not in self._readers()
         if following != self._was_following:
             self._was_following = following
             log.info("store is read", by="other entries" if following else "itself")
@@ -172,83 +174,83 @@
 
     def is_alone(self) -> bool:
         """Return whether no other entry was heard just now."""
-        return not self._peering.heard()
+        return not self._peers.live_peer_names()
 
-    def is_asked(self) -> bool:
+    def has_followers(self) -> bool:
         """Return whether others rely on what this entry reads.
 
         Also one that reads itself asks, once the store turns it away.
         """
         if self._clock.monotonic_s() < self._asked_s + ASKED_FOR_S:
             return True
-        return len(self._peering.heard()) >= READERS and not self.follows()
+        return len(self._peers.live_peer_names()) >= READERS and not self.is_follower()
 
-    def ask_reader(self, topic: str) -> None:
+    def query_reader(self, topic: str) -> None:
         """Ask one of the entries that read; its answer comes to the feed, if any."""
         self._ask(topic, self._readers(), in_full=False)
 
-    def ask_anyone(self, topic: str) -> None:
+    def query_any_peer(self, topic: str) -> None:
         """Ask any entry: the store may turn those away that usually read."""
-        self._ask(topic, self._peering.heard(), in_full=True)
+        self._ask(topic, self._peers.live_peer_names(), in_full=True)
 
-    def announce(self, feed: Follower) -> None:
+    def notify_peers(self, feed: RelayedFeed) -> None:
         """Tell the others that there are news, once this entry has read them.
 
         A follower that happens to ask an entry whose read is stuck would learn of
         a new configuration only when its knowledge counts as stale, 1.4 s later.
         """
-        if not feed.urgent or self.follows():
+        if not feed.urgent or self.is_follower():
             return
-        news = RecordsNews(topic=feed.topic, next_offset=feed.shelf.next_offset)
-        for name in self._peering.heard():
-            self._peering.tell(name, news)
+        news = RecordsNews(topic=feed.topic, next_offset=feed.cache.next_offset)
+        for name in self._peers.live_peer_names():
+            self._peers.send(name, news)
 
     def _ask(self, topic: str, names: list[str], *, in_full: bool) -> None:
-        others = [name for name in names if name != self._peering.name]
+        others = [name for name in names if name != self._peers.name]
         if not others:
             return
-        offset = self._feeds[topic].shelf.next_offset
+        offset = self._feeds[topic].cache.next_offset
         asked = RecordsAsked(
             topic=topic,
             from_offset=-1 if offset is None else offset,
             asked_s=self._clock.monotonic_s(),
             in_full=in_full,
         )
-        self._peering.tell(self._random.choice(others), asked)
+        self._peers.send(self._random.choice(others), asked)
 
-    def heard(self, sender: InstanceId, message: RecordsMessage) -> None:
+    def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
         """Take in another entry's question, answer or news."""
         feed = self._feeds.get(message.topic)
         if feed is None:
             log.warning("unknown topic", topic=message.topic, peer=sender.name)
         elif isinstance(message, RecordsNews):
-            if message.next_offset > (feed.shelf.next_offset or 0):
+            if message.next_offset > (feed.cache.next_offset or 0):
                 self._ask(feed.topic, [sender.name], in_full=False)
         elif isinstance(message, RecordsAsked):
             self._asked_s = self._clock.monotonic_s()
-            told = feed.shelf.told(message, self._clock.monotonic_s())
+            told = feed.cache.reply_to(message, self._clock.monotonic_s())
             if told is not None:
-                self._peering.tell(sender.name, told)
+                self._peers.send(sender.name, told)
         else:
             self._learn(feed, message)
 
-    def _learn(self, feed: Follower, told: RecordsTold) -> None:
-        known = feed.shelf.next_offset
+    def _learn(self, feed: RelayedFeed, told: RecordsTold) -> None:
+        known = feed.cache.next_offset
         if known is not None and told.next_offset < known:
             # It knows less than this entry: an older version must not come back.
             return
         if told.too_large:
-            feed.read_soon()
+            feed.schedule_read()
             return
         records = tuple(
             KeyedRecord(key=key, value=value, offset=offset)
             for key, value, offset in told.records
         )
-        feed.learn(
-            Records(records=records, next_offset=told.next_offset),
-            whole=told.whole,
+        feed.apply_relayed(
+            RecordBatch(records=records, next_offset=told.next_offset),
+            is_snapshot=told.whole,
             sent_s=told.asked_s - max(0.0, told.age_s),
         )
 
     def _readers(self) -> list[str]:
-        return sorted([self._peering.name, *self._peering.heard()])[:READERS]
+        return sorted([self._peers.name, *self._peers.live_peer_names()])[:READERS]
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -8,7 +8,7 @@
 # The part of the platform's retry budget that entries use: the platform counts
 # over a sliding window, in which a full balance and what is added meanwhile can
 # both be spent.
-RETRY_PART = 0.45
+RETRY_BUDGET_SHARE = 0.45
 # Time in seconds that the fresh read of a key may take to become a dispatch.
 KEY_MARGIN_S = 0.4
 
--- a/lavenderspoke/direct/spreading.py
+++ b/lavenderspoke/direct/topology.py
@@ -25,14 +25,14 @@
 GROUP_MAX = 16
 
 
-class Spreading:
+class GossipTopology:
     """How the entries are arranged, as one of them sees it.
 
-    >>> spreading = Spreading(name="a", data_centre="x")
-    >>> spreading.arrange({"b": "x", "c": "y"})
-    >>> spreading.neighbours
+    >>> topology = GossipTopology(name="a", data_centre="x")
+    >>> topology.update({"b": "x", "c": "y"})
+    >>> topology.neighbours
     ('b', 'c')
-    >>> spreading.others
+    >>> topology.other_groups
     {}
     """
 
@@ -42,9 +42,9 @@
         self._arranged: Mapping[str, str] | None = None
         self._turns: Counter[str] = Counter()
         self.neighbours: tuple[str, ...] = ()
-        self.others: dict[str, tuple[str, ...]] = {}
+        self.other_groups: dict[str, tuple[str, ...]] = {}
 
-    def arrange(self, peers: Mapping[str, str]) -> None:
+    def update(self, peers: Mapping[str, str]) -> None:
         """Arrange this entry and the others, whose data centres are given by name."""
         if peers == self._arranged:
             return
@@ -55,9 +55,9 @@
         for name in sorted(peers):
             members.setdefault(groups[name], []).append(name)
         self.neighbours = tuple(members.pop(own, ()))
-        self.others = {group: tuple(names) for group, names in members.items()}
+        self.other_groups = {group: tuple(names) for group, names in members.items()}
 
-    def speaks_to(self, group: str, speaking: Container[str]) -> bool:
+    def forwards_to(self, group: str, speaking: Container[str]) -> bool:
         """Return whether this entry passes on to a group what its neighbours tell.
 
         `speaking` holds the entries that told something just now.
@@ -65,9 +65,9 @@
         candidates = [each for each in self.neighbours if each in speaking]
         return min([self._name, *candidates], key=_weight(group)) == self._name
 
-    def listener(self, group: str, heard: Container[str]) -> str | None:
+    def next_recipient(self, group: str, heard: Container[str]) -> str | None:
         """Return who in a group is told next, of those that were heard just now."""
-        names = [name for name in self.others[group] if name in heard]
+        names = [name for name in self.other_groups[group] if name in heard]
         if not names:
             return None
         self._turns[group] += 1
--- a/lavenderspoke/platform/configuration.py
+++ b/lavenderspoke/platform/configuration.py
@@ -10,10 +10,10 @@
     Catalog,
     Customer,
     Limits,
-    Repeat,
+    Repeatability,
     Route,
     Service,
-    Share,
+    TrafficShare,
 )
 from lavenderspoke.platform.decoding import parse
 
@@ -67,14 +67,16 @@
         name=content["name"],
         host=content["host"],
         path_prefix=content["path-prefix"],
-        repeat=Repeat.IDEMPOTENT if kind == "idempotent" else Repeat.ONCE,
+        repeatability=(
+            Repeatability.IDEMPOTENT if kind == "idempotent" else Repeatability.ONCE
+        ),
         stream=kind == "streaming",
         resumable=bool(content.get("stream-resume")),
         timeout_s=timeout_ms / MS_PER_S,
         target_s=target_ms / MS_PER_S,
         patience_s=_patience_ms(content, timeout_ms, target_ms) / MS_PER_S,
         rank=int(content.get("priority") or 0),
-        shares=_shares(content),
+        traffic_split=_shares(content),
         attempts_max=max(1, int(content.get("max-attempts") or 1)),
         anonymous=bool(content.get("anonymous")),
     )
@@ -93,12 +95,13 @@
     return min(timeout_ms, gap_ms)
 
 
-def _shares(content: dict) -> tuple[Share, ...]:
+def _shares(content: dict) -> tuple[TrafficShare, ...]:
     split = content.get("traffic-split")
     if not split:
-        return (Share(service=content["service"], weight=1.0),)
+        return (TrafficShare(service=content["service"], weight=1.0),)
     shares = tuple(
-        Share(service=each["service"], weight=float(each["weight"])) for each in split
+        TrafficShare(service=each["service"], weight=float(each["weight"]))
+        for each in split
     )
     # A weight of 0 keeps a service in the list without sending it anything.
     return tuple(share for share in shares if share.weight > 0.0) or shares[:1]
@@ -121,7 +124,7 @@
         burst=float(content.get("burst") or 0),
         # The other unit is a request.
         counts_tokens=content.get("unit") == "token_unit",
-        plain_tokens=int(content.get("uncached-tokens") or 1),
+        default_tokens=int(content.get("uncached-tokens") or 1),
     )
 
 
--- a/lavenderspoke/platform/daemon.py
+++ b/lavenderspoke/platform/daemon.py
@@ -12,7 +12,7 @@
 from lavenderspoke.clock import BootClock, Clock
 from lavenderspoke.direct.daemon import DirectEntry
 from lavenderspoke.direct.messages import RecordsMessage
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.logs import BoundedStream, JsonLinesHandler
@@ -90,10 +90,10 @@
     ):
         self._settings = watch
         self._relay = Relay(
-            peering=Peering(
+            peers=PeerAccess(
                 name=entry.me.name,
-                heard=entry.office.heard_names,
-                tell=entry.tell,
+                live_peer_names=entry.office.heard_names,
+                send=entry.send_to_peer,
             ),
             clock=clock,
             random=Random(),
@@ -148,9 +148,9 @@
             ("rollouts", self._rollouts.part),
         ]
 
-    def heard(self, sender: InstanceId, message: RecordsMessage) -> None:
+    def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
         """Take in what another entry says about the store's records."""
-        self._relay.heard(sender, message)
+        self._relay.handle_message(sender, message)
 
     def leave(self) -> None:
         """Drop this entry's record."""
--- a/lavenderspoke/platform/feeds.py
+++ b/lavenderspoke/platform/feeds.py
@@ -11,9 +11,9 @@
 from lavenderspoke.clock import Clock
 from lavenderspoke.direct.catalog import Catalog
 from lavenderspoke.direct.feed import CallReason, Feed
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.records import Records
+from lavenderspoke.direct.records import RecordBatch
 from lavenderspoke.direct.relay import Relay
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.observing.metrics import Metrics
@@ -95,34 +95,34 @@
         relay: Relay,
         metrics: Metrics,
         apply_s: float,
-        in_force: InForce,
+        in_force: CatalogInForce,
         orders: Orders,
         on_change: Callable[[Catalog], None],
         on_read: Callable[[float], None],
     ):
         super().__init__(store=store, clock=clock, relay=relay, metrics=metrics)
-        self.stale_s = apply_s * CONFIGURATION_STALE_PART
-        self.ask_s = apply_s * CONFIGURATION_ASK_PART
-        self.reread_s = apply_s * CONFIGURATION_REREAD_PART
+        self.stale_after_s = apply_s * CONFIGURATION_STALE_PART
+        self.query_interval_s = apply_s * CONFIGURATION_ASK_PART
+        self.reread_after_s = apply_s * CONFIGURATION_REREAD_PART
         self._apply_s = apply_s
         self._in_force = in_force
         self._orders = orders
         self._on_change = on_change
         self._on_read = on_read
 
-    def take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
-        self._orders.take(content, whole=whole)
-        if not self._take_configuration(content, whole=whole, sent_s=sent_s):
+    def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
+        self._orders.take(batch, whole=is_snapshot)
+        if not self._apply_configuration(batch, is_snapshot=is_snapshot, sent_s=sent_s):
             return False
         self._on_read(sent_s)
         return True
 
-    def _take_configuration(
-        self, content: Records, *, whole: bool, sent_s: float
+    def _apply_configuration(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
     ) -> bool:
-        values = [r.value for r in content.records if r.key == CONFIGURATION_KEY]
+        values = [r.value for r in batch.records if r.key == CONFIGURATION_KEY]
         if not values:
-            if self._in_force.catalog is not None and not whole:
+            if self._in_force.catalog is not None and not is_snapshot:
                 self._in_force.confirm(sent_s)
             return True
         catalogs = []
@@ -142,11 +142,11 @@
             self._in_force.confirm(sent_s)
         return True
 
-    def _wait_s(self) -> float:
-        if self._failing or self._relay.follows():
+    def _long_poll_s(self) -> float:
+        if self._failing or self._relay.is_follower():
             # A follower that reads itself only wants to know where it stands.
             return 0.0
-        if self._relay.is_asked():
+        if self._relay.has_followers():
             return self._apply_s * CONFIGURATION_SHARED_WAIT_PART
         return self._apply_s * CONFIGURATION_WAIT_PART
 
@@ -167,8 +167,8 @@
         on_change: Callable[[tuple[Upstream, ...]], None],
     ):
         super().__init__(store=store, clock=clock, relay=relay, metrics=metrics)
-        self.stale_s = drain_s * UPSTREAMS_STALE_PART
-        self.ask_s = drain_s * UPSTREAMS_ASK_PART
+        self.stale_after_s = drain_s * UPSTREAMS_STALE_PART
+        self.query_interval_s = drain_s * UPSTREAMS_ASK_PART
         self._drain_s = drain_s
         self._registry = Registry(
             on_skipped=lambda reason: metrics.count(SKIPPED, reason.value)
@@ -176,26 +176,26 @@
         self._on_change = on_change
         self._told: tuple[Upstream, ...] = ()
 
-    def take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
+    def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
         now_s = self._clock.monotonic_s()
-        if whole:
-            self._registry.replace(content.records, content.next_offset, now_s)
+        if is_snapshot:
+            self._registry.replace(batch.records, batch.next_offset, now_s)
         else:
-            self._registry.apply(content.records, now_s)
+            self._registry.apply(batch.records, now_s)
         self._tell(now_s)
         return True
 
     def _period_s(self) -> float:
-        asked = self._relay.is_asked()
+        asked = self._relay.has_followers()
         part = UPSTREAMS_SHARED_PART if asked else UPSTREAMS_PERIOD_PART
         return self._drain_s * part
 
-    def failed(self) -> None:
+    def on_read_failed(self) -> None:
         # An entry that the store turns away still hears of changes through others.
         # If its own failed reads alone meant that the store is away for all, every
         # missing upstream would be taken to come back, and one that has left would
         # stay in use for as long as the entry is turned away.
-        if self.shelf.age_s(self._clock.monotonic_s()) > AWAY_S:
+        if self.cache.age_s(self._clock.monotonic_s()) > AWAY_S:
             self._registry.store_failed()
 
     def _tell(self, now_s: float) -> None:
@@ -222,8 +222,8 @@
     """
 
     topic = ENTRIES_TOPIC
-    stale_s = ENTRIES_STALE_S
-    ask_s = ENTRIES_ASK_S
+    stale_after_s = ENTRIES_STALE_S
+    query_interval_s = ENTRIES_ASK_S
 
     def __init__(
         self,
@@ -249,20 +249,20 @@
             self._count_call(CallReason.OWN_RECORD)
             appended = self._store.append(self.topic, self._name, value)
             if isinstance(appended, Err):
-                self._failed(appended.err_value)
+                self._note_failure(appended.err_value)
                 return False
             self._known = True
         return super().poll()
 
-    def _relies_on_others(self) -> bool:
-        return self._known and super()._relies_on_others()
+    def _relies_on_peers(self) -> bool:
+        return self._known and super()._relies_on_peers()
 
     def _period_s(self) -> float:
         return ENTRIES_PERIOD_S
 
-    def take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
+    def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
         entries = {}
-        for record in content.records:
+        for record in batch.records:
             if record.value is None:
                 continue
             decoded = parse_as(record.value, Whereabouts)
--- a/lavenderspoke/platform/rollouts.py
+++ b/lavenderspoke/platform/rollouts.py
@@ -16,7 +16,7 @@
 from result import Err, Ok, Result
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.records import KeyedRecord, Records, StoreError
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch, StoreError
 from lavenderspoke.direct.rolling import Wish
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.periodic import Periodic
@@ -133,7 +133,7 @@
         self._metrics = metrics
         self._seen: dict[str, int] = {}
 
-    def take(self, content: Records, *, whole: bool) -> None:
+    def take(self, content: RecordBatch, *, whole: bool) -> None:
         """Take in what a read brought; `whole` when it shows every key there is."""
         orders = [each for each in content.records if is_order(each)]
         for record in orders:
@@ -249,7 +249,7 @@
         log.warning("roll-out record", call=call, error=error.detail)
 
 
-def _status_of(order: Order, content: Records) -> Status | None:
+def _status_of(order: Order, content: RecordBatch) -> Status | None:
     """Return the record of an order, if there is one that makes sense."""
     key = KEY_PREFIX + order.service
     values = [each.value for each in content.records if each.key == key]
--- a/lavenderspoke/platform/store.py
+++ b/lavenderspoke/platform/store.py
@@ -10,7 +10,12 @@
 from result import Err, Ok, Result
 from urllib3.exceptions import HTTPError
 
-from lavenderspoke.direct.records import Forgotten, KeyedRecord, Records, StoreError
+from lavenderspoke.direct.records import (
+    KeyedRecord,
+    OffsetExpired,
+    RecordBatch,
+    StoreError,
+)
 from lavenderspoke.direct.settings import Address
 from lavenderspoke.platform.decoding import parse
 
@@ -36,7 +41,7 @@
             address.host, address.port, maxsize=1, block=False
         )
 
-    def newest(self, topic: str) -> Result[Records, StoreError]:
+    def newest(self, topic: str) -> Result[RecordBatch, StoreError]:
         """Return the newest record of each key of a topic.
 
         The pages are not a snapshot: reading on from the first page's end shows
@@ -63,7 +68,7 @@
 
     def read(
         self, topic: str, from_offset: int, *, wait_s: float
-    ) -> Result[Records | Forgotten, StoreError]:
+    ) -> Result[RecordBatch | OffsetExpired, StoreError]:
         """Return the records from an offset on, waiting for one up to `wait_s`."""
         query: dict[str, object] = {"topic": topic, "part": 0, "from": from_offset}
         if wait_s > 0.0:
@@ -165,7 +170,7 @@
     return Ok(Page(items=items, end_offset=end_offset, after=after))
 
 
-def decode_newest(items: list, next_offset: int) -> Result[Records, StoreError]:
+def decode_newest(items: list, next_offset: int) -> Result[RecordBatch, StoreError]:
     records, skipped = [], 0
     for item in items:
         try:
@@ -178,19 +183,21 @@
             skipped += 1
             continue
         records.append(record)
-    return Ok(Records(records=tuple(records), next_offset=next_offset, skipped=skipped))
+    return Ok(
+        RecordBatch(records=tuple(records), next_offset=next_offset, skipped=skipped)
+    )
 
 
-def decode_forgotten(data: bytes) -> Result[Forgotten, StoreError]:
+def decode_forgotten(data: bytes) -> Result[OffsetExpired, StoreError]:
     parsed = parse(data)
     if isinstance(parsed, Ok) and isinstance(parsed.ok_value, dict):
         first_offset = parsed.ok_value.get("first-offset")
         if type(first_offset) is int:
-            return Ok(Forgotten(first_offset=first_offset))
+            return Ok(OffsetExpired(first_offset=first_offset))
     return Err(StoreError(detail="malformed refusal"))
 
 
-def decode_records(data: bytes, from_offset: int) -> Result[Records, StoreError]:
+def decode_records(data: bytes, from_offset: int) -> Result[RecordBatch, StoreError]:
     """Decode an answer: the end and the first offset, then length and content.
 
     A record whose content makes no sense is skipped and counted; a length that
@@ -215,7 +222,7 @@
             records.append(record)
         at += length
         offset += 1
-    return Ok(Records(records=tuple(records), next_offset=offset, skipped=skipped))
+    return Ok(RecordBatch(records=tuple(records), next_offset=offset, skipped=skipped))
 
 
 def _keyed(content: bytes, offset: int) -> KeyedRecord | None:
