--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -7,7 +7,7 @@
 
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.direct.sharing import SILENT_S, Whereabouts
 from lavenderspoke.direct.talk import Talk
@@ -52,7 +52,7 @@
         self.whereabouts = Whereabouts(
             address=f"tcp://{name}:1", data_centre=data_centre
         )
-        self.office = Office(
+        self.dispatcher = DirectDispatcher(
             name=name,
             whereabouts=self.whereabouts,
             bounds=Bounds(),
@@ -60,8 +60,8 @@
             random=Random(seed),
             metrics=Metrics(),
         )
-        self.office.upstreams_changed(upstreams)
-        self.talk = Talk(me=self.me, office=self.office, clock=clock)
+        self.dispatcher.upstreams_changed(upstreams)
+        self.talk = Talk(me=self.me, dispatcher=self.dispatcher, clock=clock)
         self.is_down = False
 
 
@@ -113,7 +113,7 @@
             seed=self._random.randrange(1000),
         )
         entry.me = InstanceId(name=name, incarnation=f"{before.me.incarnation}+")
-        entry.talk = Talk(me=entry.me, office=entry.office, clock=self.clock)
+        entry.talk = Talk(me=entry.me, dispatcher=entry.dispatcher, clock=self.clock)
         self.entries[name] = entry
         self._start(entry, only_earlier=False)
         return entry
@@ -124,7 +124,9 @@
         return [
             (name, missing)
             for name, entry in living.items()
-            for missing in living.keys() - {name} - set(entry.office.heard_names())
+            for missing in living.keys()
+            - {name}
+            - set(entry.dispatcher.live_peer_names())
         ]
 
     def send(self, sender: Entry, letter, delay_s: float | None = None) -> None:
@@ -143,7 +145,7 @@
             if name == entry.me.name and only_earlier:
                 break
             listed[name] = other.whereabouts
-        entry.office.peers_listed(listed)
+        entry.dispatcher.peers_listed(listed)
         self.at(
             self.now_s + self._random.uniform(0.0, TICK_S), lambda: self._tick(entry)
         )
@@ -169,7 +171,7 @@
 
 
 def begin_request(entry: Entry, number: int = 0) -> None:
-    now_s = entry.office._now_s()
+    now_s = entry.dispatcher._now_s()
     ticket = Ticket(
         request_id=f"r{number}",
         service=SERVICE,
@@ -184,7 +186,7 @@
         returned=False,
         decided=lambda decision: None,
     )
-    entry.office.submit(ticket)
+    entry.dispatcher.submit(ticket)
 
 
 def known_within_s(fleet: Fleet) -> float:
@@ -192,7 +194,7 @@
     asker, *others = fleet.entries.values()
     begin_request(asker)
     begun_s = fleet.now_s
-    line = {e.me.name: e.office._scheduler.line(SERVICE) for e in others}
+    line = {e.me.name: e.dispatcher._scheduler.line(SERVICE) for e in others}
     while any(line[e.me.name].pool.peers_running() == 0 for e in others):
         assert fleet.now_s < begun_s + SILENT_S, "not known to all"
         fleet.run(0.005)
--- a/features/rolloutdrive.py
+++ b/features/rolloutdrive.py
@@ -13,7 +13,7 @@
 
 from features.entryfleet import SERVICE, Entry, Fleet, upstream_of
 from lavenderspoke.direct.catalog import Repeat, Route, Share
-from lavenderspoke.direct.desk import Outcome
+from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.records import KeyedRecord, Records, StoreError
 from lavenderspoke.direct.tickets import Dispatch, Ticket
@@ -114,7 +114,7 @@
         self.upstreams = [upstream_of(f"old-{n}", version=OLD) for n in range(29)]
         self.routes = {name: _route(name) for name in ROUTES}
         for entry in self.fleet.entries.values():
-            entry.office.upstreams_changed(tuple(self.upstreams))
+            entry.dispatcher.upstreams_changed(tuple(self.upstreams))
             self._follow(entry)
         for name in ROUTES:
             self._arrive(name)
@@ -133,7 +133,7 @@
         """Start upstreams of the new version beside the others."""
         self.upstreams += [upstream_of(f"new-{n}", version=NEW) for n in range(29)]
         for entry in self.fleet.entries.values():
-            entry.office.upstreams_changed(tuple(self.upstreams))
+            entry.dispatcher.upstreams_changed(tuple(self.upstreams))
 
     def give_order(self, duration_s: float) -> None:
         """Give the order, which entries read at different moments."""
@@ -143,7 +143,7 @@
             delay_s = self.random.uniform(0.0, 0.6)
             self.fleet.at(
                 self.now_s + delay_s,
-                lambda each=entry: each.office.ordered(self.order),
+                lambda each=entry: each.dispatcher.rollout_ordered(self.order),
             )
 
     def run(self, seconds: float) -> None:
@@ -164,10 +164,10 @@
         """Start an entry anew that knows nothing; what it ran has been broken off."""
         old = self.fleet.entries[name]
         entry = self.fleet.restart(name)
-        entry.office.upstreams_changed(tuple(self.upstreams))
+        entry.dispatcher.upstreams_changed(tuple(self.upstreams))
         old.is_down = True
         if self.order is not None:
-            entry.office.ordered(self.order)
+            entry.dispatcher.rollout_ordered(self.order)
         self._follow(entry)
 
     def _follow(self, entry: Entry) -> None:
@@ -175,8 +175,8 @@
             store=StoreOf(shared=self.store, name=entry.me.name),
             clock=self.fleet.clock,
             metrics=Metrics(),
-            wishes=entry.office.rollout_wishes,
-            stored=entry.office.rollout_stored,
+            wishes=entry.dispatcher.rollout_records_due,
+            stored=entry.dispatcher.rollout_stored,
         )
         self._look(entry, writer)
         self._read_orders(entry)
@@ -190,7 +190,7 @@
 
     def _read_orders(self, entry: Entry) -> None:
         if not entry.is_down and entry.me.name not in self.store.turned_away:
-            entry.office.orders_read(self.now_s)
+            entry.dispatcher.orders_read(self.now_s)
         if self.fleet.entries[entry.me.name] is entry:
             self.fleet.at(
                 self.now_s + ORDERS_READ_EVERY_S, lambda: self._read_orders(entry)
@@ -220,7 +220,7 @@
             returned=False,
             decided=lambda decision: self._decided(entry, ticket, decision),
         )
-        entry.office.submit(ticket)
+        entry.dispatcher.submit(ticket)
 
     def _decided(self, entry: Entry, ticket: Ticket, decision) -> None:
         if not isinstance(decision, Dispatch):
@@ -254,7 +254,7 @@
 
     def _begin(self, entry: Entry, ticket: Ticket, upstream: Upstream) -> None:
         if not entry.is_down:
-            entry.office.began(ticket, upstream)
+            entry.dispatcher.first_event_received(ticket, upstream)
 
     def _end(
         self, entry: Entry, ticket: Ticket, upstream: Upstream, is_bad: bool
@@ -266,11 +266,11 @@
             self.bad_answers_s.append(self.now_s)
         if entry.is_down:
             return
-        entry.office.written(ticket, ROUTES[ticket.route][1])
+        entry.dispatcher.stream_completed(ticket, ROUTES[ticket.route][1])
         failed = is_bad and not self.quality.slow_times
-        outcome = Outcome.FAILED if failed else Outcome.ANSWERED
+        outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
         accepted = _Accepted(route=self.routes[ticket.route])
-        entry.office.ended(ticket, upstream, accepted, outcome)
+        entry.dispatcher.attempt_ended(ticket, upstream, accepted, outcome)
 
 
 @attrs.frozen(kw_only=True)
--- a/features/steps/direct_begun_steps.py
+++ b/features/steps/direct_begun_steps.py
@@ -6,7 +6,7 @@
 @given("its dispatcher notes what it is told")
 def step_notes(context):
     context.told = []
-    desk, ended = context.desk, context.desk.ended
+    dispatcher, ended = context.dispatcher, context.dispatcher.attempt_ended
 
     def note_began(ticket, upstream) -> None:
         context.told.append(f"began {upstream.upstream_id}")
@@ -15,7 +15,7 @@
         context.told.append(f"ended {upstream.upstream_id}")
         ended(ticket, upstream, accepted, outcome)
 
-    desk.began, desk.ended = note_began, note_ended
+    dispatcher.first_event_received, dispatcher.attempt_ended = note_began, note_ended
 
 
 @then('its dispatcher was told "{wanted}"')
--- a/features/steps/direct_drain_steps.py
+++ b/features/steps/direct_drain_steps.py
@@ -5,14 +5,14 @@
 from features.steps.direct_handling_steps import (
     STREAM_END,
     STREAM_HEAD,
-    FewPlacesDesk,
+    FewSlotsDispatcher,
     accepted_request,
     chunk,
     handling_of,
     start_upstream,
     upstream_at,
 )
-from lavenderspoke.direct.desk import Outcome, StreamAnswer
+from lavenderspoke.direct.dispatcher import AttemptOutcome, StreamResponse
 
 
 @given("a request at an upstream whose refusal stalls, and another one with a place")
@@ -23,22 +23,24 @@
         upstream_at(start_upstream(context, [part], 0.0, "keeps").port, name=name)
         for name, part in (("refusing", refusal), ("other", stream))
     ]
-    context.desk = FewPlacesDesk(upstreams=upstreams)
+    context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
     # It mustn't run twice, so an upstream that has it is waited for to the end.
     accepted = accepted_request(resumable=False, attempts_max=2)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
 @when("it has its first answer")
 def step_first(context):
-    context.answer = context.handling.first()
+    context.answer = context.handling.handle()
 
 
 @then(
     "that is the other upstream's stream, and the first attempt ended as " '"{outcome}"'
 )
 def step_other_stream(context, outcome):
-    assert isinstance(context.answer, StreamAnswer), context.answer
-    assert b"".join(context.answer.bodies) == b"id: 0\ndata: a\n\n"
-    assert context.desk.outcomes[0] is Outcome(outcome), context.desk.outcomes
+    assert isinstance(context.answer, StreamResponse), context.answer
+    assert b"".join(context.answer.chunks) == b"id: 0\ndata: a\n\n"
+    assert context.dispatcher.outcomes[0] is AttemptOutcome(
+        outcome
+    ), context.dispatcher.outcomes
     context.handling.close()
--- a/features/steps/direct_exchange_steps.py
+++ b/features/steps/direct_exchange_steps.py
@@ -10,10 +10,10 @@
 
 from lavenderspoke.clock import SystemClock
 from lavenderspoke.direct.exchange import (
-    AnswerCut,
     ConnectionPool,
+    IncompleteResponse,
     NotSent,
-    Sending,
+    RequestHandle,
 )
 from standins.processes import HOST, free_port
 
@@ -82,9 +82,9 @@
             self._over.wait()
 
 
-def send(context, sending: Sending | None = None):
+def send(context, handle: RequestHandle | None = None):
     sent = context.connections.send(
-        sending=sending or Sending(),
+        handle=handle or RequestHandle(),
         method="GET",
         target="/a/../b?c=%2f",
         headers={"Host": "test"},
@@ -102,8 +102,8 @@
         return "unanswered for so long" if error.timed_out else "unanswered"
     exchange = sent.ok_value
     try:
-        body = exchange.read_whole(time.monotonic() + within_s, SystemClock())
-    except AnswerCut as error:
+        body = exchange.read_all(time.monotonic() + within_s, SystemClock())
+    except IncompleteResponse as error:
         exchange.close(keep=False)
         return "cut, silent" if error.timed_out else "cut"
     exchange.close(keep=True)
@@ -119,7 +119,7 @@
     context.connections = ConnectionPool(
         host=HOST, port=context.raw.port, clock=SystemClock()
     )
-    context.add_cleanup(context.connections.close)
+    context.add_cleanup(context.connections.close_idle)
 
 
 @given('an upstream that sends "" and then "{then}"')
@@ -146,22 +146,22 @@
 
 @when("a request is sent to it and given up after {ms:d} ms")
 def step_given_up(context, ms):
-    sending = Sending()
-    timer = threading.Timer(ms / 1000, sending.cancel)
+    handle = RequestHandle()
+    timer = threading.Timer(ms / 1000, handle.cancel)
     timer.start()
     began_s = time.monotonic()
-    context.outcomes = [outcome(send(context, sending))]
+    context.outcomes = [outcome(send(context, handle))]
     context.took_s = time.monotonic() - began_s
     timer.join()
 
 
 @when("a request is answered and given up afterwards")
 def step_given_up_late(context):
-    sending = Sending()
-    assert outcome(send(context, sending)) == "whole"
-    sending.ended()
+    handle = RequestHandle()
+    assert outcome(send(context, handle)) == "whole"
+    handle.detach()
     second = send(context)
-    sending.cancel()
+    handle.cancel()
     context.outcomes = [outcome(second)]
 
 
@@ -184,18 +184,18 @@
 def step_send_patiently(context):
     context.asked = 0
 
-    def on_silence() -> float:
+    def on_read_timeout() -> float:
         context.asked += 1
         return GIVEN_UP_WITHIN_S
 
     sent = context.connections.send(
-        sending=Sending(),
+        handle=RequestHandle(),
         method="POST",
         target="/",
         headers={"Host": "test"},
         body=bytes(STUCK_BODY_BYTES),
         head_timeout_s=GIVEN_UP_WITHIN_S,
-        on_silence=on_silence,
+        on_read_timeout=on_read_timeout,
     )
     context.outcomes = [outcome(sent, GIVEN_UP_WITHIN_S)]
 
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -11,12 +11,12 @@
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import SystemClock
 from lavenderspoke.direct.catalog import Repeat, Route, Share
-from lavenderspoke.direct.desk import Accepted, Outcome
-from lavenderspoke.direct.dialect import CallerHead, UpstreamCall
-from lavenderspoke.direct.exchange import AnswerCut, ConnectionPool
-from lavenderspoke.direct.handling import Handling
+from lavenderspoke.direct.dialect import ControlRequest, RequestHead
+from lavenderspoke.direct.dispatcher import AcceptedRequest, AttemptOutcome
+from lavenderspoke.direct.exchange import ConnectionPool, IncompleteResponse
+from lavenderspoke.direct.handling import RequestHandler
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.direct.tickets import Dispatch, Refusal, Refuse
@@ -28,11 +28,11 @@
 TIMEOUT_S = 5.0
 
 
-class OneUpstreamDesk:
+class OneUpstreamDispatcher:
     """Sends every request to the same upstream and notes how attempts end."""
 
     def __init__(self, *, upstream: Upstream):
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[AttemptOutcome] = []
         self._upstream = upstream
         self._connections = ConnectionPool(
             host=upstream.host, port=upstream.port, clock=SystemClock()
@@ -44,22 +44,22 @@
     def withdraw(self, ticket) -> bool:
         return False
 
-    def began(self, ticket, upstream) -> None:
+    def first_event_received(self, ticket, upstream) -> None:
         pass
 
-    def ended(self, ticket, upstream, accepted, outcome) -> None:
+    def attempt_ended(self, ticket, upstream, accepted, outcome) -> None:
         self.outcomes.append(outcome)
 
-    def connections(self, upstream) -> ConnectionPool:
+    def connection_pool(self, upstream) -> ConnectionPool:
         return self._connections
 
-    def may_retry(self, service) -> bool:
+    def take_retry(self, service) -> bool:
         return False
 
-    def stepped(self, upstream, step_s) -> None:
+    def event_interval_measured(self, upstream, step_s) -> None:
         pass
 
-    def looked(self, look) -> None:
+    def relocation_checked(self, look) -> None:
         pass
 
 
@@ -73,23 +73,25 @@
     def upstream_headers(self, *, reservation, **said) -> dict[str, str]:
         return {"Host": "test", "Reserved": reservation or "nothing"}
 
-    def never_ran(self, exchange) -> bool:
-        return exchange.status == 503
+    def is_not_run(self, response) -> bool:
+        return response.status == 503
 
-    def misdirected(self, exchange) -> bool:
-        return exchange.status == 421
+    def is_misdirected(self, response) -> bool:
+        return response.status == 421
 
-    def answers(self, exchange, head) -> bool:
+    def is_valid_response(self, response, head) -> bool:
         return True
 
-    def reserves(self, head) -> bool:
+    def supports_reservation(self, head) -> bool:
         return True
 
-    def reservation_call(self, *, head, upstream) -> UpstreamCall:
-        return UpstreamCall(method="POST", target="/reserve", headers={"Host": "test"})
+    def reservation_request(self, *, head, upstream) -> ControlRequest:
+        return ControlRequest(
+            method="POST", target="/reserve", headers={"Host": "test"}
+        )
 
-    def reservation(self, exchange, body) -> str | None:
-        return body.decode() if exchange.status == 200 else None
+    def parse_reservation(self, response, body) -> str | None:
+        return body.decode() if response.status == 200 else None
 
 
 class StepwiseUpstream(RawUpstream):
@@ -157,7 +159,7 @@
         return True
 
 
-class FewPlacesDesk(OneUpstreamDesk):
+class FewSlotsDispatcher(OneUpstreamDispatcher):
     """Has one place at each upstream, and gives them out in turn."""
 
     def __init__(self, *, upstreams: list[Upstream]):
@@ -165,7 +167,7 @@
         self.retries = 1
         self.held: list[Upstream] = []
         # The ends of earlier attempts, as known when each upstream was asked.
-        self.ended_before: list[tuple[Outcome, ...]] = []
+        self.ended_before: list[tuple[AttemptOutcome, ...]] = []
         self._free = upstreams
 
     def submit(self, ticket) -> None:
@@ -177,28 +179,28 @@
         self.held.append(upstream)
         ticket.decided(Dispatch(upstream=upstream))
 
-    def ended(self, ticket, upstream, accepted, outcome) -> None:
-        super().ended(ticket, upstream, accepted, outcome)
+    def attempt_ended(self, ticket, upstream, accepted, outcome) -> None:
+        super().attempt_ended(ticket, upstream, accepted, outcome)
         self.held.remove(upstream)
 
-    def give_back(self, ticket, upstream) -> None:
+    def release_slot(self, ticket, upstream) -> None:
         self.held.remove(upstream)
         self._free.insert(0, upstream)
 
-    def connections(self, upstream) -> ConnectionPool:
+    def connection_pool(self, upstream) -> ConnectionPool:
         self.ended_before.append(tuple(self.outcomes))
         return ConnectionPool(
             host=upstream.host, port=upstream.port, clock=SystemClock()
         )
 
-    def may_retry(self, service) -> bool:
+    def take_retry(self, service) -> bool:
         self.retries -= 1
         return self.retries >= 0
 
-    def retry_unused(self, service) -> None:
+    def return_retry(self, service) -> None:
         self.retries += 1
 
-    def written(self, ticket, steps) -> None:
+    def stream_completed(self, ticket, steps) -> None:
         pass
 
 
@@ -225,7 +227,7 @@
 
 def accepted_request(
     *, resumable: bool, attempts_max: int, patience_s: float = TIMEOUT_S
-) -> Accepted:
+) -> AcceptedRequest:
     route = Route(
         name="r",
         host="h",
@@ -241,8 +243,8 @@
         attempts_max=attempts_max,
     )
     now_s = time.monotonic()
-    head = CallerHead(request_id="a", method="GET", target="/", host="h", headers=())
-    return Accepted(
+    head = RequestHead(request_id="a", method="GET", target="/", host="h", headers=())
+    return AcceptedRequest(
         head=head,
         body=b"",
         route=route,
@@ -251,16 +253,21 @@
         rank=(0, 0),
         fingerprint="f",
         returned=False,
-        first_s=now_s,
+        first_arrived_s=now_s,
         arrived_s=now_s,
-        until_s=now_s + TIMEOUT_S,
+        deadline_s=now_s + TIMEOUT_S,
         version=1,
     )
 
 
-def handling_of(accepted: Accepted, desk: OneUpstreamDesk) -> Handling:
-    return Handling(
-        accepted=accepted, desk=desk, dialect=PlainDialect(), clock=SystemClock()
+def handling_of(
+    accepted: AcceptedRequest, dispatcher: OneUpstreamDispatcher
+) -> RequestHandler:
+    return RequestHandler(
+        accepted=accepted,
+        dispatcher=dispatcher,
+        dialect=PlainDialect(),
+        clock=SystemClock(),
     )
 
 
@@ -270,9 +277,9 @@
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + body
     raw = RawUpstream(answer=answer, then="keeps")
     context.add_cleanup(raw.close)
-    context.desk = OneUpstreamDesk(upstream=upstream_at(raw.port))
+    context.dispatcher = OneUpstreamDispatcher(upstream=upstream_at(raw.port))
     accepted = accepted_request(resumable=False, attempts_max=1)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
 def start_upstream(context, parts: list[bytes], pause_s: float, then: str, **more):
@@ -307,10 +314,10 @@
         for number, raw in enumerate([context.first, *others])
     ]
     upstreams += more
-    context.desk = FewPlacesDesk(upstreams=upstreams)
-    context.desk.retries = retries
+    context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
+    context.dispatcher.retries = retries
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
 @given("no other upstream has a place")
@@ -382,7 +389,7 @@
     rest = [STREAM_HEAD + chunk(getattr(context, "next_event", 1)) + STREAM_END]
     other = start_upstream(context, rest, 0.0, "keeps")
     first = upstream_at(context.first.port, name="first")
-    office = Office(
+    dispatcher = DirectDispatcher(
         name="entry-1",
         whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
@@ -390,12 +397,12 @@
         random=Random(1),
         metrics=Metrics(),
     )
-    office.upstreams_changed((first,))
+    dispatcher.upstreams_changed((first,))
     patience_s = getattr(context, "patience_s", TIMEOUT_S)
     accepted = accepted_request(resumable=True, attempts_max=2, patience_s=patience_s)
-    context.handling = handling_of(accepted, office)
-    context.begun = context.handling.first()
-    office.upstreams_changed((first, upstream_at(other.port, name="other")))
+    context.handling = handling_of(accepted, dispatcher)
+    context.begun = context.handling.handle()
+    dispatcher.upstreams_changed((first, upstream_at(other.port, name="other")))
 
 
 @given("another upstream has a place, and no retry is left")
@@ -413,19 +420,19 @@
 @when("its stream is read to the end")
 def step_read_to_the_end(context):
     began_s = time.monotonic()
-    answer = getattr(context, "begun", None) or context.handling.first()
-    context.events = b"".join(answer.bodies)
+    answer = getattr(context, "begun", None) or context.handling.handle()
+    context.events = b"".join(answer.chunks)
     context.handling.close()
     context.took_s = time.monotonic() - began_s
 
 
 @when("its stream is read until it breaks off")
 def step_read_until_cut(context):
-    answer = context.handling.first()
+    answer = context.handling.handle()
     try:
-        for _ in answer.bodies:
+        for _ in answer.chunks:
             pass
-    except AnswerCut as error:
+    except IncompleteResponse as error:
         context.cut = str(error)
     context.handling.close()
 
@@ -433,9 +440,9 @@
 @then('the cut is told as "{text}", after looks that found "{look}"')
 def step_cut_told(context, text, look):
     assert context.cut == text, context.cut
-    assert set(context.handling.relocation.looks) == {
+    assert set(context.handling.relocation.results) == {
         look
-    }, context.handling.relocation.looks
+    }, context.handling.relocation.results
 
 
 @then("its caller has events 0 and 1, and it ran at {count:d} upstream")
@@ -454,8 +461,8 @@
 @then("the first upstream was given up before the other was asked")
 def step_given_up_first(context):
     # Each is asked for the request once, and the other for a place before that.
-    ended_before = context.desk.ended_before
-    assert ended_before == [(), (), (Outcome.SILENT,)], ended_before
+    ended_before = context.dispatcher.ended_before
+    assert ended_before == [(), (), (AttemptOutcome.SILENT,)], ended_before
 
 
 @then("the other was asked with the place that it had reserved")
@@ -481,10 +488,10 @@
     stream = [STREAM_HEAD + chunk(0) + chunk(1) + STREAM_END]
     other = start_upstream(context, stream, 0.0, "keeps")
     upstreams = [*context.unreachable, upstream_at(other.port)]
-    context.desk = FewPlacesDesk(upstreams=upstreams)
-    context.desk.retries = 0
+    context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
+    context.dispatcher.retries = 0
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
 @given("another upstream streams its answer")
@@ -495,25 +502,27 @@
 
 @when("its caller leaves while a connection is made")
 def step_leaves_early(context):
-    connections = context.desk.connections
+    connections = context.dispatcher.connection_pool
 
     def leave_then_connect(upstream):
-        context.handling.abandon()
+        context.handling.cancel()
         return connections(upstream)
 
-    context.desk.connections = leave_then_connect
-    context.handling.first()
+    context.dispatcher.connection_pool = leave_then_connect
+    context.handling.handle()
     context.handling.close()
 
 
 @then('the first attempt ended as "{outcome}"')
 def step_first_ended(context, outcome):
-    assert context.desk.outcomes[0] is Outcome(outcome), context.desk.outcomes
+    assert context.dispatcher.outcomes[0] is AttemptOutcome(
+        outcome
+    ), context.dispatcher.outcomes
 
 
 @then("no place is held")
 def step_none_held(context):
-    assert context.desk.held == [], context.desk.held
+    assert context.dispatcher.held == [], context.dispatcher.held
 
 
 @then("it took less than {limit_s:g} s")
@@ -523,43 +532,47 @@
 
 @then("its retry is left")
 def step_retry_left(context):
-    assert context.desk.retries == 1, context.desk.retries
+    assert context.dispatcher.retries == 1, context.dispatcher.retries
 
 
 @then('a look found "{look}"')
 def step_look_found(context, look):
-    assert look in context.handling.relocation.looks, context.handling.relocation.looks
+    assert (
+        look in context.handling.relocation.results
+    ), context.handling.relocation.results
 
 
 @when("its first event has come and the request is closed unread")
 def step_closed(context):
-    context.handling.first()
+    context.handling.handle()
     context.handling.close()
 
 
 @when("its first event has come and its caller leaves")
 def step_leaves(context):
-    context.answer = context.handling.first()
-    assert next(context.answer.bodies).startswith(b"id: 0")
-    context.handling.abandon()
+    context.answer = context.handling.handle()
+    assert next(context.answer.chunks).startswith(b"id: 0")
+    context.handling.cancel()
 
 
 @when("its stream is read")
 def step_read(context):
-    context.answer = context.handling.first()
+    context.answer = context.handling.handle()
 
 
 @then('its place was given back once, as "{outcome}"')
 def step_given_back(context, outcome):
-    assert context.desk.outcomes == [Outcome(outcome)], context.desk.outcomes
+    assert context.dispatcher.outcomes == [
+        AttemptOutcome(outcome)
+    ], context.dispatcher.outcomes
 
 
 @then('its stream breaks off, and its place was given back once, as "{outcome}"')
 def step_breaks_off(context, outcome):
     try:
-        for _ in context.answer.bodies:
+        for _ in context.answer.chunks:
             pass
-    except AnswerCut:
+    except IncompleteResponse:
         step_given_back(context, outcome)
         return
     raise AssertionError("the stream ended as if it were whole")
@@ -571,4 +584,6 @@
 def step_told(context):
     assert context.answer.reason is Reason.ANSWER_INCOMPLETE, context.answer
     assert context.answer.ran is Ran.UNKNOWN, context.answer
-    assert context.desk.outcomes == [Outcome.BROKEN], context.desk.outcomes
+    assert context.dispatcher.outcomes == [
+        AttemptOutcome.BROKEN
+    ], context.dispatcher.outcomes
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -15,7 +15,7 @@
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.catalog import Customer
-from lavenderspoke.direct.desk import Outcome
+from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.messages import PassedOn, SharedState
 from lavenderspoke.model import InstanceId
 
@@ -99,7 +99,7 @@
     entry.is_down = True
     fleet.run(LATE_S)
     for other in fleet.entries.values():
-        other.office.heard_passed_on((late,))
+        other.dispatcher.receive_relayed_states((late,))
 
 
 @when("they run for {seconds:g} s, and one refuses a request each 10 ms for 1 s")
@@ -109,7 +109,7 @@
     entry = fleet.entries["entry-3"]
     context.refused = [f"refused-{number}" for number in range(100)]
     for fingerprint in context.refused:
-        entry.office._returns.refused(fingerprint, fleet.now_s)
+        entry.dispatcher._returns.refused(fingerprint, fleet.now_s)
         fleet.run(0.01)
 
 
@@ -119,8 +119,10 @@
 def step_finds(context, seconds):
     fleet = context.fleet
     fleet.run(seconds)
-    office = fleet.entries["entry-5"].office
-    office._verdicts.ended(UPSTREAM, REQUEST, Outcome.MISDIRECTED, fleet.now_s)
+    dispatcher = fleet.entries["entry-5"].dispatcher
+    dispatcher._verdicts.ended(
+        UPSTREAM, REQUEST, AttemptOutcome.MISDIRECTED, fleet.now_s
+    )
 
 
 @then("none of the entries sends a request there")
@@ -136,8 +138,10 @@
     fleet = context.fleet
     fleet.run(seconds)
     for number in {first, second}:
-        office = fleet.entries[f"entry-{number}"].office
-        office._verdicts.ended(UPSTREAM, REQUEST, Outcome.UNREACHABLE, fleet.now_s)
+        dispatcher = fleet.entries[f"entry-{number}"].dispatcher
+        dispatcher._verdicts.ended(
+            UPSTREAM, REQUEST, AttemptOutcome.UNREACHABLE, fleet.now_s
+        )
 
 
 def senders(context) -> set[str]:
@@ -145,7 +149,7 @@
     sending = set()
     for name, entry in context.fleet.entries.items():
         begin_request(entry, 1)
-        if entry.office._scheduler.line(SERVICE).pool.running():
+        if entry.dispatcher._scheduler.line(SERVICE).pool.running():
             sending.add(name)
     return sending
 
@@ -177,7 +181,7 @@
         counts_tokens=True,
         plain_tokens=1,
     )
-    quota = context.entry.office._quota
+    quota = context.entry.dispatcher._quota
     quota.reconfigure((context.customer,), now_s=0.0)
     context.clock.advance(20.0)
     hear(context, "1", number=900, used=0.0)
@@ -193,7 +197,7 @@
 
 def hear(context, incarnation: str, *, number: int, used: float) -> None:
     sender = InstanceId(name="entry-1", incarnation=incarnation)
-    context.entry.office.heard(sender, state_of(number, used))
+    context.entry.dispatcher.receive_state(sender, state_of(number, used))
 
 
 @when("what the first life told is passed on to it")
@@ -203,13 +207,13 @@
         age_s=0.2,
         state=state_of(905, 300.0),
     )
-    context.entry.office.heard_passed_on((late,))
+    context.entry.dispatcher.receive_relayed_states((late,))
     hear(context, "2", number=3, used=60.0)
 
 
 @then("it still knows the second life, and what that uses counts once")
 def step_once(context):
-    usage = context.entry.office._quota._usages["tours"]
+    usage = context.entry.dispatcher._quota._usages["tours"]
     assert usage.used() == 300.0 + 60.0, usage.used()
 
 
@@ -256,7 +260,7 @@
     knowing = [
         name
         for name, entry in context.fleet.entries.items()
-        if name != left and left in entry.office.known_peers()
+        if name != left and left in entry.dispatcher.known_peers()
     ]
     assert not knowing, knowing
 
@@ -264,5 +268,5 @@
 @then("each entry expects all that were refused back")
 def step_expected(context):
     for name, entry in context.fleet.entries.items():
-        missing = set(context.refused) - entry.office._returns._first_s.keys()
+        missing = set(context.refused) - entry.dispatcher._returns._first_s.keys()
         assert not missing, (name, sorted(missing)[:5])
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -16,7 +16,7 @@
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.catalog import Catalog, Customer
 from lavenderspoke.direct.messages import SharedState
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.peerlink import PeerLink
 from lavenderspoke.direct.quota import Tolerance
@@ -269,7 +269,7 @@
     "{count:d} entries that start together, a limit of {per_s:d} a second "
     "and {tolerated:d} tolerated"
 )
-def step_offices(context, count, per_s, tolerated):
+def step_dispatchers(context, count, per_s, tolerated):
     context.clock = ManualClock(start_s=100.0)
     context.customer = Customer(
         name="tours",
@@ -281,8 +281,8 @@
         plain_tokens=1,
     )
     tolerance = Tolerance(tokens=float(tolerated))
-    context.offices = {
-        f"entry-{number}": Office(
+    context.dispatchers = {
+        f"entry-{number}": DirectDispatcher(
             name=f"entry-{number}",
             whereabouts=Whereabouts(address=f"tcp://10.0.0.{number}:1"),
             bounds=Bounds(quota_tolerance=tolerance),
@@ -293,37 +293,39 @@
         for number in range(count)
     }
     catalog = Catalog(version=1, routes=(), services={}, customers=(context.customer,))
-    entries = {name: Whereabouts(address=f"tcp://{name}") for name in context.offices}
-    for office in context.offices.values():
-        office.catalog_changed(catalog)
-        office.peers_listed(entries)
+    entries = {
+        name: Whereabouts(address=f"tcp://{name}") for name in context.dispatchers
+    }
+    for dispatcher in context.dispatchers.values():
+        dispatcher.catalog_changed(catalog)
+        dispatcher.peers_listed(entries)
     tell_each_other(context)
 
 
 def tell_each_other(context) -> None:
     """Have all hear that the others are there, and nothing of what they spent."""
     context.number = getattr(context, "number", 0) + 1
-    for name, office in context.offices.items():
-        for peer in context.offices:
+    for name, dispatcher in context.dispatchers.items():
+        for peer in context.dispatchers:
             if peer != name:
                 sender = InstanceId(name=peer, incarnation="1")
                 state = SharedState(address=f"tcp://{peer}", number=context.number)
-                office.heard(sender, state)
-        office.tick()
+                dispatcher.receive_state(sender, state)
+        dispatcher.tick()
 
 
-def passes(context, office: Office, cost: float) -> bool:
+def passes(context, dispatcher: DirectDispatcher, cost: float) -> bool:
     now_s = context.clock.monotonic_s()
-    return office._quota.spend(context.customer, cost, rank=0, now_s=now_s)
+    return dispatcher._quota.spend(context.customer, cost, rank=0, now_s=now_s)
 
 
 @when("{count:d} requests of {cost:d} come to each in the first instant")
 def step_instant(context, count, cost):
     context.passed = sum(
         cost
-        for office in context.offices.values()
+        for dispatcher in context.dispatchers.values()
         for _ in range(count)
-        if passes(context, office, float(cost))
+        if passes(context, dispatcher, float(cost))
     )
 
 
@@ -336,8 +338,8 @@
 def step_alone(context, seconds):
     context.clock.advance(seconds)
     tell_each_other(context)
-    office = context.offices["entry-0"]
+    dispatcher = context.dispatchers["entry-0"]
     given_out = 0
-    while passes(context, office, 50.0):
+    while passes(context, dispatcher, 50.0):
         given_out += 50
     assert given_out >= 500, given_out
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -10,7 +10,7 @@
 from features.entryfleet import SERVICE, Entry, upstream_of
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
-from lavenderspoke.direct.desk import Outcome
+from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.scheduler import Line, Scheduler
 from lavenderspoke.direct.tickets import Dispatch, Ticket
@@ -178,7 +178,7 @@
 
 
 def pool_of(entry: Entry):
-    return entry.office._scheduler.line(SERVICE).pool
+    return entry.dispatcher._scheduler.line(SERVICE).pool
 
 
 def tell_failing(context, *names: str) -> None:
@@ -192,7 +192,7 @@
         )
         for entry in context.entries[:2]:
             sender = InstanceId(name=teller.me.name, incarnation="1")
-            entry.office.heard(sender, state)
+            entry.dispatcher.receive_state(sender, state)
 
 
 @when("an upstream has answered the first entry and two others say that it fails")
@@ -218,10 +218,12 @@
 
 @when("all that the first entry has running at an upstream breaks at once")
 def step_breaks(context):
-    office = context.entries[0].office
+    dispatcher = context.entries[0].dispatcher
     request = accepted_request(resumable=False, attempts_max=1)
     for _ in range(5):
-        office._verdicts.ended(upstream_of("u0"), request, Outcome.BROKEN, 0.0)
+        dispatcher._verdicts.ended(
+            upstream_of("u0"), request, AttemptOutcome.BROKEN, 0.0
+        )
 
 
 @then("the first entry still uses it")
--- a/features/steps/platform_words_steps.py
+++ b/features/steps/platform_words_steps.py
@@ -14,7 +14,7 @@
 from features.helper import JSON, fuzz
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.catalog import Repeat
-from lavenderspoke.direct.dialect import CallerHead
+from lavenderspoke.direct.dialect import RequestHead
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.records import KeyedRecord
@@ -266,8 +266,8 @@
     return force
 
 
-def caller_head(**said) -> CallerHead:
-    return CallerHead(
+def caller_head(**said) -> RequestHead:
+    return RequestHead(
         request_id="a1", method="POST", target="/", host="h", headers=(), **said
     )
 
@@ -283,12 +283,14 @@
         slots=1,
     )
     head = caller_head(**said)
-    return PlatformDialect().reservation_call(head=head, upstream=upstream)
+    return PlatformDialect().reservation_request(head=head, upstream=upstream)
 
 
 @then("a place is asked for with the upstream's name, and room for the whole answer")
 def step_reservation_call(context):
-    call = reservation_call(prompt_tokens=700, output_tokens=90, expected_tokens=30)
+    call = reservation_call(
+        prompt_tokens=700, max_output_tokens=90, expected_output_tokens=30
+    )
     assert (call.method, call.target) == ("POST", "/v1/hold-take"), call
     assert call.headers["X-Expect-Instance"] == "i-1", call
     assert json.loads(call.body) == {"token-count": 790, "ttl-ms": 500}, call
@@ -296,8 +298,8 @@
 
 @then("none is asked for a request that says nothing of its tokens")
 def step_no_reservation_call(context):
-    assert PlatformDialect().reserves(caller_head(prompt_tokens=700))
-    assert not PlatformDialect().reserves(caller_head())
+    assert PlatformDialect().supports_reservation(caller_head(prompt_tokens=700))
+    assert not PlatformDialect().supports_reservation(caller_head())
 
 
 @attrs.frozen(kw_only=True)
@@ -312,7 +314,7 @@
     dialect = PlatformDialect()
 
     def reserved(status: int, body: bytes) -> str | None:
-        return dialect.reservation(Status(status=status), body)
+        return dialect.parse_reservation(Status(status=status), body)
 
     assert reserved(200, b'{"retention": "4029723f9713"}') == "4029723f9713"
     assert reserved(503, b"") is None
@@ -350,17 +352,17 @@
     assert force.catalog.version == 5
 
 
-def head_of(lengths: str, expected: str) -> CallerHead:
+def head_of(lengths: str, expected: str) -> RequestHead:
     headers = [("X-Attempt-Id", "a"), ("X-Token-Usage", lengths)]
     headers.append(("X-Length-Hint", expected))
-    return PlatformDialect().read("POST", "/a/", headers).unwrap()
+    return PlatformDialect().parse_request("POST", "/a/", headers).unwrap()
 
 
 @then("a request's lengths are read, and its answer is expected to be as said")
 def step_lengths(context):
     head = head_of("6610,3840", "382")
-    assert (head.prompt_tokens, head.output_tokens) == (6610, 3840)
-    assert head.tokens == 10450 and head.answer_tokens == 382
+    assert (head.prompt_tokens, head.max_output_tokens) == (6610, 3840)
+    assert head.total_tokens == 10450 and head.answer_tokens == 382
 
 
 @then("an expected length beyond the longest counts as the longest")
@@ -377,7 +379,7 @@
 
 def last_event(text: str):
     headers = (("X-Attempt-Id", "a"), ("Last-Event-Id", text))
-    return PlatformDialect().read("GET", "/a/", headers)
+    return PlatformDialect().parse_request("GET", "/a/", headers)
 
 
 @then(
@@ -386,7 +388,7 @@
 )
 def step_last_event(context):
     for text in ("0", "17", "007", "9" * 18):
-        assert last_event(text).unwrap().after_event == text, text
+        assert last_event(text).unwrap().last_event_id == text, text
     for text in ("", "-1", "1.5", "\u00b2", "\u0663", "9" * 5000, "9" * 19, "many"):
         assert isinstance(last_event(text), Err), text
     for text in (" 17", "\u00a017", "17\u2003"):
--- a/features/steps/refused_resources_steps.py
+++ b/features/steps/refused_resources_steps.py
@@ -151,7 +151,7 @@
     return Gossip(
         me=InstanceId(name="entry-1", incarnation="a1"),
         listen=Address(host=HOST, port=port),
-        office=mock.Mock(gone_peers=list),
+        dispatcher=mock.Mock(forget_gone_peers=list),
         talk=mock.Mock(tick=list, farewell=list),
         metrics=Metrics(),
         on_records=lambda sender, message: None,
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -13,7 +13,7 @@
 )
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
-from lavenderspoke.direct.desk import Outcome
+from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.records import KeyedRecord, Records
 from lavenderspoke.direct.rolling import Answer
 from lavenderspoke.direct.sharing import Whereabouts
@@ -84,7 +84,7 @@
     drive.give_order(float(seconds))
     drive.run(float(after_s))
     for entry in drive.fleet.entries.values():
-        entry.office.order_withdrawn(SERVICE, drive.order.number + 1)
+        entry.dispatcher.order_withdrawn(SERVICE, drive.order.number + 1)
 
 
 @when("all entries start anew")
@@ -155,7 +155,7 @@
     context.entry = Entry(
         name="a", data_centre="d", clock=context.clock, seed=1, upstreams=()
     )
-    context.entry.office.orders_read(0.0)
+    context.entry.dispatcher.orders_read(0.0)
 
 
 @given("an entry that knows upstreams of one version")
@@ -175,7 +175,7 @@
 
 
 def list_versions(context, *versions: str) -> None:
-    context.entry.office.upstreams_changed(
+    context.entry.dispatcher.upstreams_changed(
         tuple(
             upstream_of(f"{version}-{number}", version=version)
             for version in versions
@@ -188,26 +188,26 @@
 def step_orders_read(context, seconds):
     now_s = context.clock.monotonic_s()
     context.clock.advance(seconds - now_s)
-    context.entry.office.orders_read(seconds)
+    context.entry.dispatcher.orders_read(seconds)
 
 
 @when("it is ordered to move to that version")
 def step_order_same(context):
     order = Order(service=SERVICE, target=OLD, duration_s=12.0, number=3)
-    context.entry.office.ordered(order)
+    context.entry.dispatcher.rollout_ordered(order)
 
 
 @given("an entry that knows an order and hears none of {count:d} others")
 def step_alone(context, count):
     step_entry_one(context)
     list_versions(context, OLD, NEW)
-    office = context.entry.office
-    office.peers_listed(
+    dispatcher = context.entry.dispatcher
+    dispatcher.peers_listed(
         {f"b{n}": Whereabouts(address=f"tcp://b{n}:1") for n in range(count)}
     )
     order = Order(service=SERVICE, target=NEW, duration_s=60.0, number=3)
-    office.ordered(order)
-    office.rollout_stored(order, Stage.CANARY, 0.0)
+    dispatcher.rollout_ordered(order)
+    dispatcher.rollout_stored(order, Stage.CANARY, 0.0)
 
 
 def request(context, name: str, decided) -> Ticket:
@@ -231,16 +231,16 @@
 
 def versions_sent_to(context, count: int) -> list[str]:
     """Send requests one after the other; return the versions that got them."""
-    office = context.entry.office
+    dispatcher = context.entry.dispatcher
     versions = []
     for number in range(count):
         decisions = []
         ticket = request(context, f"r{number}", decisions.append)
-        office.submit(ticket)
+        dispatcher.submit(ticket)
         (decision,) = decisions
         assert isinstance(decision, Dispatch), decision
         versions.append(decision.upstream.version)
-        office.give_back(ticket, decision.upstream)
+        dispatcher.release_slot(ticket, decision.upstream)
     return versions
 
 
@@ -263,24 +263,24 @@
 def step_target_nothing(context, count):
     for _ in range(count // 10):
         context.clock.advance(0.05)
-        context.entry.office.orders_read(context.clock.monotonic_s())
-        context.entry.office.tick()
+        context.entry.dispatcher.orders_read(context.clock.monotonic_s())
+        context.entry.dispatcher.tick()
         assert set(versions_sent_to(context, 10)) == {OLD}
 
 
 @when("a request ends there as {outcome}")
 def step_ends_as(context, outcome):
-    office, decisions = context.entry.office, []
+    dispatcher, decisions = context.entry.dispatcher, []
     ticket = request(context, "r0", decisions.append)
-    office.submit(ticket)
+    dispatcher.submit(ticket)
     upstream = decisions[0].upstream
     accepted = accepted_request(resumable=False, attempts_max=1)
-    office.ended(ticket, upstream, accepted, Outcome(outcome))
+    dispatcher.attempt_ended(ticket, upstream, accepted, AttemptOutcome(outcome))
 
 
 @then("no place is taken")
 def step_no_place(context):
-    pool = context.entry.office._scheduler.line(SERVICE).pool
+    pool = context.entry.dispatcher._scheduler.line(SERVICE).pool
     assert pool.in_flight() == 0, pool.running()
 
 
@@ -298,10 +298,10 @@
 
     def withdraw(service: str, number: int) -> None:
         context.withdrawn.append(service)
-        context.entry.office.order_withdrawn(service, number)
+        context.entry.dispatcher.order_withdrawn(service, number)
 
     context.orders = Orders(
-        on_order=context.entry.office.ordered,
+        on_order=context.entry.dispatcher.rollout_ordered,
         on_withdrawn=withdraw,
         metrics=Metrics(),
     )
@@ -326,7 +326,7 @@
 
 @then("the roll-out stays stopped")
 def step_stays_stopped(context):
-    (news,) = context.entry.office.news(leaving=False)[0].rollouts
+    (news,) = context.entry.dispatcher.outgoing_updates(leaving=False)[0].rollouts
     assert news.stage == Stage.STOPPED, news
 
 
@@ -334,24 +334,24 @@
 def step_completed(context):
     step_entry_one(context)
     list_versions(context, OLD, NEW)
-    office = context.entry.office
+    dispatcher = context.entry.dispatcher
     order = Order(service=SERVICE, target=NEW, duration_s=12.0, number=3)
-    office.ordered(order)
-    office.rollout_stored(order, Stage.COMPLETED, 12.0)
+    dispatcher.rollout_ordered(order)
+    dispatcher.rollout_stored(order, Stage.COMPLETED, 12.0)
 
 
 @when("the new version answers {count:d} times within {seconds:g} s")
 def step_answers(context, count, seconds):
     answer = Answer(route="r", durations_s={Measure.WHOLE: seconds}, whole_s=seconds)
     for _ in range(count):
-        context.entry.office._rollouts.answered(
+        context.entry.dispatcher._rollouts.answered(
             upstream_of("new-0", version=NEW), answer
         )
 
 
 @then("an answer of {seconds:g} s counts as slow")
 def step_counts_as_slow(context, seconds):
-    typical = context.entry.office._rollouts._typical[SERVICE]
+    typical = context.entry.dispatcher._rollouts._typical[SERVICE]
     assert typical.is_slow("r", {Measure.WHOLE: seconds})
 
 
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -13,10 +13,10 @@
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import ManualClock, SystemClock
 from lavenderspoke.codec import Codec
-from lavenderspoke.direct.exchange import Sending
+from lavenderspoke.direct.exchange import RequestHandle
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.messages import DirectMessage
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.pool import Demand
 from lavenderspoke.direct.records import KeyedRecord, Records
 from lavenderspoke.direct.relay import Peering, Relay
@@ -57,7 +57,7 @@
     context.offset += 1
     content = value(port=context.raw.port, host=HOST, born=born)
     context.registry.apply((record("u", context.offset, content),), 0.0)
-    context.office.upstreams_changed(context.registry.upstreams(0.0))
+    context.dispatcher.upstreams_changed(context.registry.upstreams(0.0))
 
 
 def upstream(context):
@@ -66,7 +66,7 @@
 
 
 def seat(context):
-    line = context.office._scheduler.line(SERVICE)
+    line = context.dispatcher._scheduler.line(SERVICE)
     return line.pool.seat(upstream(context).upstream_id)
 
 
@@ -77,7 +77,7 @@
     context.raw = RawUpstream(answer=b"", then="keeps")
     context.add_cleanup(context.raw.close)
     context.registry = Registry()
-    context.office = Office(
+    context.dispatcher = DirectDispatcher(
         name="entry-1",
         whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
@@ -119,7 +119,7 @@
         left_s=5.0,
         excluded={context.before.upstream_id},
     )
-    pool = context.office._scheduler.line(SERVICE).pool
+    pool = context.dispatcher._scheduler.line(SERVICE).pool
     choice = pool.choose(demand, now_s=0.0)
     assert choice.seat.upstream == upstream(context)
 
@@ -127,12 +127,12 @@
 @given("a request waits for an answer there")
 def step_waits(context):
     context.sent = []
-    pool = context.office.connections(upstream(context))
+    pool = context.dispatcher.connection_pool(upstream(context))
 
     def send() -> None:
         context.sent.append(
             pool.send(
-                sending=Sending(),
+                handle=RequestHandle(),
                 method="GET",
                 target="/",
                 headers={"Host": "test"},
@@ -157,17 +157,17 @@
 
 @when('content "{content}" breaks there, and the record tells of start {born:d}')
 def step_crash(context, content, born):
-    crashes = context.office._verdicts.crashes
+    crashes = context.dispatcher._verdicts.crashes
     crashes.broke(upstream(context).upstream_id, content, context.clock.monotonic_s())
     tell(context, born)
     context.clock.advance(RESTART_SETTLED_S + 0.1)
-    context.office.tick()
+    context.dispatcher.tick()
 
 
 @then('content "{content}" is refused')
 def step_refused(context, content):
     now_s = context.clock.monotonic_s()
-    assert context.office._verdicts.crashes.quarantined(SERVICE, content, now_s)
+    assert context.dispatcher._verdicts.crashes.quarantined(SERVICE, content, now_s)
 
 
 def starts(registry: Registry) -> list[str]:
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -1,7 +1,7 @@
 """The WSGI application of an entry that dispatches directly.
 
 It decides what can be decided on arrival (route, key, limit), hands the rest to
-`Handling`, and writes what comes of it: whole, or visibly broken.
+`RequestHandler`, and writes what comes of it: whole, or visibly broken.
 """
 
 import hashlib
@@ -13,12 +13,16 @@
 
 from lavenderspoke.clock import Clock
 from lavenderspoke.direct.catalog import Catalog, Customer, Route
-from lavenderspoke.direct.desk import Accepted, StreamAnswer, WholeAnswer
-from lavenderspoke.direct.dialect import CallerHead, Dialect
-from lavenderspoke.direct.exchange import AnswerCut
-from lavenderspoke.direct.handling import Handling
+from lavenderspoke.direct.dialect import Dialect, RequestHead
+from lavenderspoke.direct.dispatcher import (
+    AcceptedRequest,
+    FullResponse,
+    StreamResponse,
+)
+from lavenderspoke.direct.exchange import IncompleteResponse
+from lavenderspoke.direct.handling import RequestHandler
 from lavenderspoke.direct.inforce import InForce
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.refusals import not_run
 from lavenderspoke.http import problempage
@@ -60,7 +64,7 @@
     status: int = 0
     retry_after_s: float | None = None
     detail: str = ""
-    handling: Handling | None = None
+    handling: RequestHandler | None = None
     first_s: float | None = None
 
 
@@ -76,7 +80,7 @@
         *,
         opening: Opening,
         in_force: InForce,
-        office: Office,
+        dispatcher: DirectDispatcher,
         dialect: Dialect,
         watch: CallerWatch,
         metrics: Metrics,
@@ -86,7 +90,7 @@
         self.refusing = False
         self._opening = opening
         self._in_force = in_force
-        self._office = office
+        self._dispatcher = dispatcher
         self._dialect = dialect
         self._watch = watch
         self._metrics = metrics
@@ -121,15 +125,15 @@
             http_request.close_connection |= _unread(http_request)
             yield self._refuse(start_response, accepted.err_value, journey)
             return
-        handling = Handling(
+        handling = RequestHandler(
             accepted=accepted.ok_value,
-            desk=self._office,
+            dispatcher=self._dispatcher,
             dialect=self._dialect,
             clock=self._clock,
         )
         journey.handling = handling
         fd = http_request.conn.socket.fileno()
-        self._watch.add(fd, handling.abandon)
+        self._watch.add(fd, handling.cancel)
         try:
             yield from self._pass_on(handling, start_response, journey)
         finally:
@@ -137,19 +141,19 @@
             self._watch.remove(fd)
 
     def _pass_on(
-        self, handling: Handling, start_response: StartResponse, journey: _Journey
+        self, handling: RequestHandler, start_response: StartResponse, journey: _Journey
     ) -> Iterator[bytes]:
-        answer = handling.first()
+        answer = handling.handle()
         journey.first_s = self._clock.monotonic_s()
         accepted = handling.accepted
         if isinstance(answer, Problem):
-            self._office.refused(accepted, ran=answer.ran)
-            if handling.gone:
+            self._dispatcher.note_refusal(accepted, ran=answer.ran)
+            if handling.caller_gone:
                 answer = attrs.evolve(answer, reason=Reason.CALLER_GONE)
             yield self._refuse(start_response, answer, journey)
             return
         journey.status = answer.status
-        if isinstance(answer, WholeAnswer):
+        if isinstance(answer, FullResponse):
             journey.outcome = WHOLE_ANSWER
             start_response(
                 problempage.status_line(answer.status),
@@ -161,8 +165,8 @@
 
     def _stream(
         self,
-        answer: StreamAnswer,
-        handling: Handling,
+        answer: StreamResponse,
+        handling: RequestHandler,
         start_response: StartResponse,
         journey: _Journey,
     ) -> Iterator[bytes]:
@@ -171,26 +175,28 @@
         )
         journey.outcome = Reason.CALLER_GONE.value
         try:
-            yield from answer.bodies
-        except AnswerCut as error:
-            if not handling.gone:
+            yield from answer.chunks
+        except IncompleteResponse as error:
+            if not handling.caller_gone:
                 journey.outcome = BROKEN
             journey.detail = str(error)
             # Returning would end the answer as if it were whole.
             raise CutOff from error
         finally:
-            answer.bodies.close()
+            answer.chunks.close()
         journey.outcome = WHOLE_ANSWER
 
     # Decisions on arrival
 
     def _accept(
         self, http_request: CallerHttpRequest, journey: _Journey
-    ) -> Result[Accepted, Problem]:
+    ) -> Result[AcceptedRequest, Problem]:
         if self.refusing:
             return Err(not_run(Reason.DRAINING, "try another instance", SOON_S))
         request = caller_request(http_request)
-        read = self._dialect.read(request.method, request.target, request.headers)
+        read = self._dialect.parse_request(
+            request.method, request.target, request.headers
+        )
         if isinstance(read, Err):
             return Err(not_run(Reason.BAD_REQUEST, read.err_value.detail))
         head = read.ok_value
@@ -220,14 +226,14 @@
         return accepted
 
     def _customer(
-        self, catalog: Catalog, route: Route, head: CallerHead
+        self, catalog: Catalog, route: Route, head: RequestHead
     ) -> Result[Customer | None, Problem]:
         if route.anonymous or not catalog.needs_key:
             return Ok(None)
         if not self._in_force.fresh():
             detail = "the keys were read too long ago"
             return Err(not_run(Reason.KEYS_STALE, detail, SOON_S))
-        customer = catalog.customer_for(head.key) if head.key else None
+        customer = catalog.customer_for(head.api_key) if head.api_key else None
         if customer is None:
             return Err(not_run(Reason.UNAUTHORIZED, "the key is missing or unknown"))
         return Ok(customer)
@@ -250,28 +256,28 @@
         catalog: Catalog,
         route: Route,
         customer: Customer | None,
-        head: CallerHead,
+        head: RequestHead,
         body: bytes,
         arrived_s: float,
-    ) -> Result[Accepted, Problem]:
+    ) -> Result[AcceptedRequest, Problem]:
         allowed_s = route.timeout_s - TIMEOUT_MARGIN_S
         if head.deadline_in_s is not None:
             allowed_s = min(allowed_s, head.deadline_in_s)
-        accepted = Accepted(
+        accepted = AcceptedRequest(
             head=head,
             body=body,
             route=route,
-            service=self._office.choose_service(route),
+            service=self._dispatcher.choose_service(route),
             customer=customer,
             rank=(catalog.rank_of(customer), route.rank),
             fingerprint=_fingerprint(head, customer, body),
             returned=False,
-            first_s=arrived_s,
+            first_arrived_s=arrived_s,
             arrived_s=arrived_s,
-            until_s=arrived_s + allowed_s,
+            deadline_s=arrived_s + allowed_s,
             version=catalog.version,
         )
-        return self._office.admit(accepted)
+        return self._dispatcher.admit(accepted)
 
     # Writing
 
@@ -309,7 +315,7 @@
             trail=handling.trail if handling else [],
             retry_after_s=journey.retry_after_s,
             detail=journey.detail,
-            silence_looks=dict(handling.relocation.looks) if handling else {},
+            silence_looks=dict(handling.relocation.results) if handling else {},
             waited_s=round(handling.waited_s, 4) if handling else None,
             first_s=_since(journey.first_s, journey.arrived_s),
             whole_s=_since(now_s, journey.arrived_s),
@@ -334,7 +340,7 @@
     return returned
 
 
-def _fingerprint(head: CallerHead, customer: Customer | None, body: bytes) -> str:
+def _fingerprint(head: RequestHead, customer: Customer | None, body: bytes) -> str:
     """Return what a caller's repeat of a request has in common with it."""
     name = customer.name if customer else ""
     text = f"{name}\0{head.method}\0{head.host}\0{head.target}\0".encode()
--- a/lavenderspoke/direct/answers.py
+++ b/lavenderspoke/direct/attemptresults.py
@@ -1,18 +1,22 @@
 """What became of an attempt, as a roll-out counts it."""
 
 from lavenderspoke.direct.catalog import Route
-from lavenderspoke.direct.desk import Outcome
+from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.rolling import Answer
 from lavenderspoke.direct.tickets import Ticket
 from lavenderspoke.rollouts.typical import Measure
 
-BAD = (Outcome.FAILED, Outcome.BROKEN, Outcome.SILENT)
+BAD = (AttemptOutcome.FAILED, AttemptOutcome.BROKEN, AttemptOutcome.SILENT)
 # The upstream didn't run these, so that they say nothing of its version.
-NOT_ANSWERED = (Outcome.UNREACHABLE, Outcome.NOT_RUN, Outcome.MISDIRECTED)
+NOT_ANSWERED = (
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.NOT_RUN,
+    AttemptOutcome.MISDIRECTED,
+)
 
 
-def answer_of(
-    ticket: Ticket, route: Route, outcome: Outcome, now_s: float
+def attempt_result(
+    ticket: Ticket, route: Route, outcome: AttemptOutcome, now_s: float
 ) -> Answer | None:
     """Return what an attempt says of its upstream's version, if anything.
 
@@ -21,7 +25,7 @@
     """
     if outcome in NOT_ANSWERED:
         return None
-    if outcome is Outcome.LEFT:
+    if outcome is AttemptOutcome.LEFT:
         waited = _until_first(ticket, now_s) if ticket.began_s is None else {}
         return Answer(route=route.name, durations_s=waited, is_given_up=True)
     return Answer(
@@ -33,9 +37,9 @@
 
 
 def _durations(
-    ticket: Ticket, route: Route, outcome: Outcome, now_s: float
+    ticket: Ticket, route: Route, outcome: AttemptOutcome, now_s: float
 ) -> dict[Measure, float]:
-    if outcome is not Outcome.ANSWERED:
+    if outcome is not AttemptOutcome.ANSWERED:
         return {}
     if not route.stream:
         return {Measure.WHOLE: now_s - ticket.started_s}
--- a/lavenderspoke/direct/surroundings.py
+++ b/lavenderspoke/direct/clusterview.py
@@ -13,35 +13,37 @@
 
 
 @attrs.frozen(kw_only=True)
-class Surroundings:
+class ClusterView:
     """What an entry knows of its peers and of the platform at one moment.
 
     `orders_age_s` is how old its last read of the orders is.
     """
 
     name: str
-    heard: tuple[str, ...]
-    known: int
+    live_peers: tuple[str, ...]
+    known_entries: int
     orders_age_s: float
     bounds: Bounds
 
     @property
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether this entry would learn in time of what the others find."""
-        hears_most = 1 + len(self.heard) >= self.known * HEARD_PART
-        return hears_most and self.knows_orders
+        hears_most = 1 + len(self.live_peers) >= self.known_entries * HEARD_PART
+        return hears_most and self.orders_are_fresh
 
     @property
-    def all_heard(self) -> bool:
+    def all_peers_live(self) -> bool:
         """Whether no entry is silent that may have something running."""
-        return 1 + len(self.heard) >= self.known
+        return 1 + len(self.live_peers) >= self.known_entries
 
     @property
-    def knows_orders(self) -> bool:
+    def orders_are_fresh(self) -> bool:
         """Whether no order can have been given or withdrawn long ago unnoticed."""
         return self.orders_age_s <= ORDERS_AGE_MAX_S
 
     @property
-    def is_first(self) -> bool:
+    def is_coordinator(self) -> bool:
         """Whether it is for this entry to act first of those that hear each other."""
-        return self.in_touch and self.name <= min(self.heard, default=self.name)
+        return self.is_connected and self.name <= min(
+            self.live_peers, default=self.name
+        )
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -17,11 +17,11 @@
 from lavenderspoke.direct.dialect import Dialect
 from lavenderspoke.direct.inforce import InForce
 from lavenderspoke.direct.messages import RecordsMessage
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.opening import Opening
 from lavenderspoke.direct.peerlink import Link, PeerLink
 from lavenderspoke.direct.readiness import ReadinessServer
-from lavenderspoke.direct.server import CallerPart
+from lavenderspoke.direct.server import DirectServer
 from lavenderspoke.direct.settings import KEY_MARGIN_S, Bounds, DirectSettings
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.http.callerwatch import CallerWatch
@@ -83,7 +83,7 @@
         self.in_force = InForce(
             clock=clock, key_age_max_s=bounds.revoke_s - KEY_MARGIN_S
         )
-        self.office = Office(
+        self.dispatcher = DirectDispatcher(
             name=settings.name,
             whereabouts=self.whereabouts,
             bounds=bounds,
@@ -96,13 +96,15 @@
         self._app = DirectApp(
             opening=self._opening,
             in_force=self.in_force,
-            office=self.office,
+            dispatcher=self.dispatcher,
             dialect=dialect,
             watch=self._watch,
             metrics=self.metrics,
             clock=clock,
         )
-        self._callers = CallerPart(settings=settings, app=self._app, listener=listener)
+        self._callers = DirectServer(
+            settings=settings, app=self._app, listener=listener
+        )
         self._readiness = ReadinessServer(
             address=settings.readiness, ready=self.ready, metrics=self.metrics
         )
@@ -124,26 +126,26 @@
             and self._opening.is_over()
             and self.in_force.catalog is not None
             and self.in_force.fresh()
-            and self.office.has_upstreams()
+            and self.dispatcher.has_upstreams()
         )
 
     def _knows_enough(self) -> bool:
         """Return whether requests can be decided on, and limits shared."""
         return (
             self.in_force.catalog is not None
-            and self.office.has_upstreams()
-            and self.office.knows_peers()
+            and self.dispatcher.has_upstreams()
+            and self.dispatcher.knows_peers()
         )
 
     def catalog_changed(self, catalog: Catalog) -> None:
         """Take over a catalog that has come into force."""
-        self.office.catalog_changed(catalog)
-        self._callers.limit(catalog.limits)
+        self.dispatcher.catalog_changed(catalog)
+        self._callers.set_limits(catalog.limits)
 
     def reload(self, bounds: Bounds) -> None:
         """Put changed bounds in force."""
         self.in_force.key_age_max_s = bounds.revoke_s - KEY_MARGIN_S
-        self.office.reload(bounds)
+        self.dispatcher.reload(bounds)
 
     def tell(self, name: str, message: RecordsMessage) -> None:
         """Send another entry a message about records, if it can be reached."""
@@ -154,11 +156,11 @@
         from lavenderspoke.direct.gossip import Gossip
         from lavenderspoke.direct.talk import Talk
 
-        talk = Talk(me=self.me, office=self.office, clock=self.clock)
+        talk = Talk(me=self.me, dispatcher=self.dispatcher, clock=self.clock)
         return Gossip(
             me=self.me,
             listen=self.settings.peers,
-            office=self.office,
+            dispatcher=self.dispatcher,
             talk=talk,
             metrics=self.metrics,
             on_records=self._on_records,
@@ -218,7 +220,7 @@
         self._told_to_stop.wait()
         started_s = self.clock.monotonic_s()
         turned_away_s = started_s + TURNED_AWAY_S
-        latest_s = started_s + self.office.bounds.grace_s - STOP_MARGIN_S
+        latest_s = started_s + self.dispatcher.bounds.grace_s - STOP_MARGIN_S
         log.info("stopping", in_flight=self._callers.in_flight())
         self._feeds.leave()
         pause = threading.Event()
--- a/lavenderspoke/direct/dialect.py
+++ b/lavenderspoke/direct/dialect.py
@@ -6,20 +6,20 @@
 import attrs
 from result import Result
 
-from lavenderspoke.direct.exchange import Exchange
+from lavenderspoke.direct.exchange import UpstreamResponse
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.http.hopbyhop import Headers
 
 
 @attrs.frozen(kw_only=True)
-class CallerHead:
+class RequestHead:
     """What a caller's request says before its body.
 
     `target` is the path with its query, untouched. `headers` are those that go
     on to an upstream. Tokens are None where the request states none, and
-    `deadline_in_s` where it sets no deadline. `output_tokens` is the longest that
-    the answer may become, `expected_tokens` what the caller expects of it.
-    `after_event` is the id of the last event that the caller has, as it sent it.
+    `deadline_in_s` where it sets no deadline. `max_output_tokens` is the longest that
+    the answer may become, `expected_output_tokens` what the caller expects of it.
+    `last_event_id` is the id of the last event that the caller has, as it sent it.
     """
 
     request_id: str
@@ -27,12 +27,12 @@
     target: str
     host: str
     headers: Headers
-    key: str | None = None
+    api_key: str | None = None
     deadline_in_s: float | None = None
     prompt_tokens: int | None = None
-    output_tokens: int | None = None
-    expected_tokens: int | None = None
-    after_event: str | None = None
+    max_output_tokens: int | None = None
+    expected_output_tokens: int | None = None
+    last_event_id: str | None = None
 
     @property
     def path(self) -> str:
@@ -40,11 +40,11 @@
         return self.target.partition("?")[0]
 
     @property
-    def tokens(self) -> int | None:
+    def total_tokens(self) -> int | None:
         """Prompt and longest answer together, or None where not stated."""
         if self.prompt_tokens is None:
             return None
-        return self.prompt_tokens + (self.output_tokens or 0)
+        return self.prompt_tokens + (self.max_output_tokens or 0)
 
     @property
     def answer_tokens(self) -> int:
@@ -52,22 +52,22 @@
 
         0 where nothing is said of it.
         """
-        if self.expected_tokens is None:
-            return self.output_tokens or 0
-        if self.output_tokens is None:
-            return self.expected_tokens
-        return min(self.expected_tokens, self.output_tokens)
+        if self.expected_output_tokens is None:
+            return self.max_output_tokens or 0
+        if self.max_output_tokens is None:
+            return self.expected_output_tokens
+        return min(self.expected_output_tokens, self.max_output_tokens)
 
 
 @attrs.frozen(kw_only=True)
-class BadHead:
+class BadRequestHead:
     """A request that can't be handled; `detail` is for its caller."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
-class UpstreamCall:
+class ControlRequest:
     """A call to an upstream that isn't a caller's request."""
 
     method: str
@@ -79,40 +79,42 @@
 class Dialect(Protocol):
     """How callers and upstreams of a platform spell things."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: Headers
-    ) -> Result[CallerHead, BadHead]:
+    ) -> Result[RequestHead, BadRequestHead]:
         """Decode a caller's request."""
 
     def upstream_headers(
         self,
         *,
-        head: CallerHead,
+        head: RequestHead,
         upstream: Upstream,
         customer: str | None,
-        left_s: float,
-        after_event: str | None,
+        remaining_s: float,
+        last_event_id: str | None,
         reservation: str | None = None,
     ) -> dict[str, str]:
         """Return the headers for an upstream, where a place may be reserved."""
 
-    def reserves(self, head: CallerHead) -> bool:
+    def supports_reservation(self, head: RequestHead) -> bool:
         """Return whether upstreams reserve places for such a request."""
 
-    def reservation_call(self, *, head: CallerHead, upstream: Upstream) -> UpstreamCall:
+    def reservation_request(
+        self, *, head: RequestHead, upstream: Upstream
+    ) -> ControlRequest:
         """Return the call that reserves a place for a request that follows at once."""
 
-    def reservation(self, exchange: Exchange, body: bytes) -> str | None:
+    def parse_reservation(self, response: UpstreamResponse, body: bytes) -> str | None:
         """Return what names the reserved place, or None where there is no room."""
 
-    def never_ran(self, exchange: Exchange) -> bool:
+    def is_not_run(self, response: UpstreamResponse) -> bool:
         """Return whether the upstream says that it did not run the request."""
 
-    def misdirected(self, exchange: Exchange) -> bool:
+    def is_misdirected(self, response: UpstreamResponse) -> bool:
         """Return whether another upstream answers there than was asked.
 
         It did not run the request; the one that was asked is no longer there.
         """
 
-    def answers(self, exchange: Exchange, head: CallerHead) -> bool:
+    def is_valid_response(self, response: UpstreamResponse, head: RequestHead) -> bool:
         """Return whether this is the upstream's own answer to that request."""
--- a/lavenderspoke/direct/desk.py
+++ b/lavenderspoke/direct/dispatcher.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lavenderspoke.direct.catalog import Customer, Route
-from lavenderspoke.direct.dialect import CallerHead
+from lavenderspoke.direct.dialect import RequestHead
 from lavenderspoke.direct.exchange import ConnectionPool
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.tickets import Rank, Ticket
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Accepted:
+class AcceptedRequest:
     """A request that may be sent, with everything that was decided on arrival.
 
     `first_s` is when the caller asked for the first time, which for one that came
@@ -24,7 +24,7 @@
     the route's timeout, whichever comes first.
     """
 
-    head: CallerHead
+    head: RequestHead
     body: bytes
     route: Route
     service: str
@@ -32,14 +32,14 @@
     rank: Rank
     fingerprint: str
     returned: bool
-    first_s: float
+    first_arrived_s: float
     arrived_s: float
-    until_s: float
+    deadline_s: float
     version: int
 
 
 @attrs.frozen(kw_only=True)
-class WholeAnswer:
+class FullResponse:
     """An upstream's answer of known length."""
 
     status: int
@@ -48,18 +48,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class StreamAnswer:
+class StreamResponse:
     """An upstream's stream whose first events have come."""
 
     status: int
     headers: Headers
-    bodies: Iterator[bytes]
+    chunks: Iterator[bytes]
 
 
-FirstAnswer = WholeAnswer | StreamAnswer | Problem
+HandlerResult = FullResponse | StreamResponse | Problem
 
 
-class Outcome(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """What became of one attempt at an upstream."""
 
     ANSWERED = "answered"
@@ -72,7 +72,7 @@
     LEFT = "left"  # given up by this side: the caller has gone, or time is up
 
 
-class Look(enum.Enum):
+class RelocationResult(enum.Enum):
     """What a look for a place elsewhere found, while an upstream was silent."""
 
     FOUND = "found"
@@ -82,7 +82,7 @@
     SPOKE = "spoke"  # the silent upstream spoke meanwhile
 
 
-class Desk(Protocol):
+class Dispatcher(Protocol):
     """What a request asks of its entry; safe for threads."""
 
     def submit(self, ticket: Ticket) -> None:
@@ -91,31 +91,35 @@
     def withdraw(self, ticket: Ticket) -> bool:
         """Take it out of the line; False if it has been decided on."""
 
-    def began(self, ticket: Ticket, upstream: Upstream) -> None:
+    def first_event_received(self, ticket: Ticket, upstream: Upstream) -> None:
         """Note its first event."""
 
-    def ended(
-        self, ticket: Ticket, upstream: Upstream, accepted: Accepted, outcome: Outcome
+    def attempt_ended(
+        self,
+        ticket: Ticket,
+        upstream: Upstream,
+        accepted: AcceptedRequest,
+        outcome: AttemptOutcome,
     ) -> None:
         """Give its place at an upstream back, and note what became of it."""
 
-    def give_back(self, ticket: Ticket, upstream: Upstream) -> None:
+    def release_slot(self, ticket: Ticket, upstream: Upstream) -> None:
         """Give a place back to which nothing was sent."""
 
-    def connections(self, upstream: Upstream) -> ConnectionPool:
+    def connection_pool(self, upstream: Upstream) -> ConnectionPool:
         """Return the connections of an upstream."""
 
-    def may_retry(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take one retry from the service's budget."""
 
-    def retry_unused(self, service: str) -> None:
+    def return_retry(self, service: str) -> None:
         """Give a retry back that was taken and not sent."""
 
-    def looked(self, look: Look) -> None:
+    def relocation_checked(self, look: RelocationResult) -> None:
         """Count a look for a place elsewhere."""
 
-    def written(self, ticket: Ticket, steps: int) -> None:
+    def stream_completed(self, ticket: Ticket, steps: int) -> None:
         """Note of how many steps a whole stream was, its first event counted."""
 
-    def stepped(self, upstream: Upstream, step_s: float) -> None:
+    def event_interval_measured(self, upstream: Upstream, step_s: float) -> None:
         """Note the time between two events of a stream."""
--- a/lavenderspoke/direct/exchange.py
+++ b/lavenderspoke/direct/exchange.py
@@ -51,7 +51,7 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 ]
 
-OnSilence = Callable[[], float]
+OnReadTimeout = Callable[[], float]
 """Returns for how many seconds more a silent upstream is waited for; 0 gives it up.
 
 Asked on the reading thread, each time that the upstream has said nothing for as
@@ -74,14 +74,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class Unanswered:
+class NoResponse:
     """The request may have run; no head of an answer came."""
 
     detail: str
     timed_out: bool = False
 
 
-class AnswerCut(Exception):
+class IncompleteResponse(Exception):
     """An answer ended before it was whole, or was silent for too long."""
 
     def __init__(self, detail: str, *, timed_out: bool = False):
@@ -98,9 +98,9 @@
 
     ended = False
 
-    def __init__(self, sock: socket.socket, on_silence: OnSilence):
+    def __init__(self, sock: socket.socket, on_read_timeout: OnReadTimeout):
         super().__init__(sock, "rb")
-        self.on_silence = on_silence
+        self.on_read_timeout = on_read_timeout
 
     def readinto(self, buffer):
         if self.ended:
@@ -112,7 +112,7 @@
             except TimeoutError as error:
                 if _given_up(error):
                     raise
-                more_s = self.on_silence()
+                more_s = self.on_read_timeout()
                 if more_s <= 0.0:
                     raise
                 self._sock.settimeout(more_s)
@@ -121,10 +121,10 @@
 class _Response(http.client.HTTPResponse):
     """A response that notices bytes behind its end."""
 
-    def __init__(self, sock, *args, on_silence: OnSilence = give_up, **kwargs):
+    def __init__(self, sock, *args, on_read_timeout: OnReadTimeout = give_up, **kwargs):
         super().__init__(sock, *args, **kwargs)
         self.fp.close()
-        self._raw = _Raw(sock, on_silence)
+        self._raw = _Raw(sock, on_read_timeout)
         sock._io_refs += 1
         self.fp = io.BufferedReader(self._raw)
         self.followed = False
@@ -143,11 +143,11 @@
     until_s: float
 
 
-class Exchange:
+class UpstreamResponse:
     """An answer whose head has come.
 
     `read` returns the next bytes as they come and nothing at its whole end. A silence
-    that is longer than its timeout lasts as long as `on_silence` says.
+    that is longer than its timeout lasts as long as `on_read_timeout` says.
     """
 
     def __init__(self, *, connection: HTTPConnection, response, pool: "ConnectionPool"):
@@ -165,7 +165,7 @@
         return self._response.headers.get(name, "")
 
     def read(self, timeout_s: float) -> bytes:
-        """Return the next bytes, waiting up to `timeout_s`; raises AnswerCut."""
+        """Return the next bytes within `timeout_s`; raises IncompleteResponse."""
         if self._whole:
             return b""
         try:
@@ -173,15 +173,15 @@
             data = self._raw_response().read1(READ_BYTES)
         except TimeoutError as error:
             detail = str(error) if _given_up(error) else "silent for too long"
-            raise AnswerCut(detail, timed_out=True) from error
+            raise IncompleteResponse(detail, timed_out=True) from error
         except (http.client.HTTPException, OSError, ValueError) as error:
-            raise AnswerCut(f"{type(error).__name__}: {error}") from error
+            raise IncompleteResponse(f"{type(error).__name__}: {error}") from error
         if not data:
             self._check_whole()
         return data
 
-    def read_whole(self, until_s: float, clock: Clock) -> bytes:
-        """Return the rest of the answer; raises AnswerCut."""
+    def read_all(self, until_s: float, clock: Clock) -> bytes:
+        """Return the rest of the answer; raises IncompleteResponse."""
         parts = []
         while data := self.read(until_s - clock.monotonic_s()):
             parts.append(data)
@@ -191,12 +191,12 @@
         """Return whether anything has come that wasn't read, also an end."""
         return _has_unread_data(self._socket)
 
-    def end_at_silence(self) -> None:
+    def enforce_read_timeouts(self) -> None:
         """Have silences from now on last no longer than their reads' timeouts."""
-        self._raw_response()._raw.on_silence = give_up
+        self._raw_response()._raw.on_read_timeout = give_up
 
     def cancel(self) -> None:
-        """Break the exchange off, from any thread; its reader gets AnswerCut."""
+        """Break it off, from any thread; its reader gets IncompleteResponse."""
         _shut(self._socket)
 
     def close(self, *, keep: bool) -> None:
@@ -209,7 +209,7 @@
             and self.header("Connection").lower() != "close"
         )
         if reusable:
-            self._pool.give_back(self._connection, self.header("Keep-Alive"))
+            self._pool.release(self._connection, self.header("Keep-Alive"))
             return
         self._response.close()
         self._pool.discard(self._connection)
@@ -217,7 +217,7 @@
     def _check_whole(self) -> None:
         response = self._raw_response()
         if response.length not in (None, 0):
-            raise AnswerCut(f"{response.length} bytes are missing")
+            raise IncompleteResponse(f"{response.length} bytes are missing")
         response._close_conn() if response.fp is not None else None
         self._whole = True
 
@@ -225,13 +225,13 @@
         return self._response._original_response
 
 
-class Sending:
+class RequestHandle:
     """A request on its way, so that another thread can break it off."""
 
     def __init__(self):
         self._lock = threading.Lock()
         self._connection: HTTPConnection | None = None
-        self._exchange: Exchange | None = None
+        self._exchange: UpstreamResponse | None = None
         self.cancelled = False
 
     def cancel(self) -> None:
@@ -251,16 +251,16 @@
             sock = self._connection.sock if self._connection is not None else None
             return sock is not None and _has_unread_data(sock)
 
-    def ended(self) -> None:
+    def detach(self) -> None:
         """Let go: the connection may be another request's from now on.
 
         Without this, a caller that leaves just after its answer would cut off
         the next request on the same connection.
         """
-        self.holds(None, None)
+        self.attach(None, None)
 
-    def holds(
-        self, connection: HTTPConnection | None, exchange: Exchange | None
+    def attach(
+        self, connection: HTTPConnection | None, exchange: UpstreamResponse | None
     ) -> bool:
         """Note what is under way; return False if it was broken off before."""
         with self._lock:
@@ -283,17 +283,17 @@
     def send(
         self,
         *,
-        sending: Sending,
+        handle: RequestHandle,
         method: str,
         target: str,
         headers: Mapping[str, str],
         body: bytes,
         head_timeout_s: float,
-        on_silence: OnSilence = give_up,
-    ) -> Result[Exchange, NotSent | Unanswered]:
+        on_read_timeout: OnReadTimeout = give_up,
+    ) -> Result[UpstreamResponse, NotSent | NoResponse]:
         """Send a request and wait for the head of its answer.
 
-        `on_silence` is also asked in the silences of the answer's body.
+        `on_read_timeout` is also asked in the silences of the answer's body.
         """
         connection = self._idle_connection()
         if connection is None:
@@ -303,21 +303,23 @@
             connection = opened.ok_value
         with self._lock:
             self._busy.add(connection)
-        if not sending.holds(connection, None):
+        if not handle.attach(connection, None):
             self.discard(connection)
             return Err(NotSent(detail="the caller has gone"))
-        connection.response_class = functools.partial(_Response, on_silence=on_silence)
+        connection.response_class = functools.partial(
+            _Response, on_read_timeout=on_read_timeout
+        )
         sent = self._exchange(connection, method, target, headers, body, head_timeout_s)
         if sent.is_err():
             self.discard(connection)
-            sending.holds(None, None)
+            handle.attach(None, None)
             return sent
         exchange = sent.ok_value
-        if not sending.holds(connection, exchange):
+        if not handle.attach(connection, exchange):
             exchange.cancel()
         return sent
 
-    def give_back(self, connection: HTTPConnection, keep_alive: str) -> None:
+    def release(self, connection: HTTPConnection, keep_alive: str) -> None:
         """Keep a connection whose last answer came whole."""
         idle_s = _keep_alive_s(keep_alive) - IDLE_MARGIN_S
         if idle_s <= 0.0:
@@ -334,7 +336,7 @@
             self._busy.discard(connection)
         connection.close()
 
-    def close(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections that nobody uses."""
         with self._lock:
             idle, self._idle = self._idle, []
@@ -377,16 +379,16 @@
 
     def _exchange(
         self, connection, method, target, headers, body, head_timeout_s
-    ) -> Result[Exchange, Unanswered]:
+    ) -> Result[UpstreamResponse, NoResponse]:
         connection.timeout = max(0.001, head_timeout_s)
         try:
             self._write(connection, method, target, headers, body)
             response = connection.getresponse()
         except TimeoutError as error:
-            return Err(Unanswered(detail=str(error), timed_out=True))
+            return Err(NoResponse(detail=str(error), timed_out=True))
         except (HTTPError, http.client.HTTPException, OSError, ValueError) as error:
-            return Err(Unanswered(detail=f"{type(error).__name__}: {error}"))
-        return Ok(Exchange(connection=connection, response=response, pool=self))
+            return Err(NoResponse(detail=f"{type(error).__name__}: {error}"))
+        return Ok(UpstreamResponse(connection=connection, response=response, pool=self))
 
     @staticmethod
     def _write(connection, method, target, headers, body) -> None:
--- a/lavenderspoke/direct/gossip.py
+++ b/lavenderspoke/direct/gossip.py
@@ -13,7 +13,7 @@
     RecordsMessage,
     SharedState,
 )
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Address
 from lavenderspoke.direct.talk import Letter, Talk
 from lavenderspoke.envelope import Envelope
@@ -37,14 +37,14 @@
         *,
         me: InstanceId,
         listen: Address,
-        office: Office,
+        dispatcher: DirectDispatcher,
         talk: Talk,
         metrics: Metrics,
         on_records: Callable[[InstanceId, RecordsMessage], None],
     ):
         self._me = me
         self._on_records = on_records
-        self._office = office
+        self._dispatcher = dispatcher
         self._talk = talk
         self._metrics = metrics
         self._transport = Transport(
@@ -84,7 +84,7 @@
 
     def tell(self, name: str, message: RecordsMessage) -> None:
         """Send one entry a message; it is dropped if that can't be reached."""
-        peer = self._office.known_peers().get(name)
+        peer = self._dispatcher.known_peers().get(name)
         if peer is not None:
             self._send(Letter(name=name, address=peer.address, message=message))
 
@@ -92,7 +92,7 @@
         while not self._stopping.wait(TICK_S):
             try:
                 self._send_all(self._talk.tick())
-                for address in self._office.gone_peers():
+                for address in self._dispatcher.forget_gone_peers():
                     self._transport.forget(address)
             except Exception:
                 # The lines must go on being served, whatever one tick met.
@@ -123,7 +123,7 @@
         if isinstance(message, (SharedState, GroupStates)):
             self._send_all(self._talk.heard(envelope.sender, message))
         elif isinstance(message, CrashEvidence):
-            self._office.heard_of_crash(message)
+            self._dispatcher.receive_crash_evidence(message)
         elif isinstance(message, RecordsMessage):
             self._on_records(envelope.sender, message)
 
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -13,25 +13,29 @@
 from result import Err
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.desk import (
-    Accepted,
-    Desk,
-    FirstAnswer,
-    Outcome,
-    StreamAnswer,
-    WholeAnswer,
-)
 from lavenderspoke.direct.dialect import Dialect
+from lavenderspoke.direct.dispatcher import (
+    AcceptedRequest,
+    AttemptOutcome,
+    Dispatcher,
+    FullResponse,
+    HandlerResult,
+    StreamResponse,
+)
 from lavenderspoke.direct.exchange import (
-    AnswerCut,
-    Exchange,
+    IncompleteResponse,
+    NoResponse,
     NotSent,
-    Sending,
-    Unanswered,
+    RequestHandle,
+    UpstreamResponse,
 )
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.refusals import out_of_time, turned_down, unanswered
-from lavenderspoke.direct.relocation import Place, Relocation
+from lavenderspoke.direct.refusals import (
+    deadline_exceeded,
+    no_complete_response,
+    no_slot_available,
+)
+from lavenderspoke.direct.relocation import HeldSlot, Relocation
 from lavenderspoke.direct.tickets import Decision, Dispatch, Ticket
 from lavenderspoke.http.eventstream import Events, EventSplitter, EventTooLong
 from lavenderspoke.problems import Problem
@@ -56,7 +60,11 @@
 DRAIN_BODY_S = 0.3
 
 # Outcomes that prove that an attempt did not run.
-NEVER_RAN = (Outcome.UNREACHABLE, Outcome.NOT_RUN, Outcome.MISDIRECTED)
+NEVER_RAN = (
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.NOT_RUN,
+    AttemptOutcome.MISDIRECTED,
+)
 
 log = logbook.Logger(__name__)
 
@@ -65,10 +73,10 @@
 class _Attempt:
     """One attempt at one upstream and what came of it so far."""
 
-    place: Place
-    sending: Sending
-    exchange: Exchange | None = None
-    outcome: Outcome | None = None
+    place: HeldSlot
+    sending: RequestHandle
+    exchange: UpstreamResponse | None = None
+    outcome: AttemptOutcome | None = None
     detail: str = ""
 
     @property
@@ -80,48 +88,53 @@
         return self.place.ticket
 
 
-class Handling:
+class RequestHandler:
     """One request's way through the entry."""
 
     def __init__(
-        self, *, accepted: Accepted, desk: Desk, dialect: Dialect, clock: Clock
+        self,
+        *,
+        accepted: AcceptedRequest,
+        dispatcher: Dispatcher,
+        dialect: Dialect,
+        clock: Clock,
     ):
         self.accepted = accepted
         self.trail: list[str] = []
         self.runs = 0
         self.waited_s = 0.0
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._dialect = dialect
         self._clock = clock
         self._lock = threading.Lock()
         self._gone = False
         self._ticket: Ticket | None = None
-        self._sending: Sending | None = None
+        self._sending: RequestHandle | None = None
         self._current: _Attempt | None = None
         self._decided = threading.Event()
         self._decision: Decision | None = None
         self._tried: set[str] = set()
         self._unreached = 0
         self._may_have_run = False
-        self._last_event = accepted.head.after_event
+        self._last_event = accepted.head.last_event_id
         self._quiet_since_s = accepted.arrived_s
         self.relocation = Relocation(
             accepted=accepted,
-            desk=desk,
+            dispatcher=dispatcher,
             dialect=dialect,
             clock=clock,
-            free_place=lambda: self._wait_for_place(may_wait=False),
+            find_free_slot=lambda: self._wait_for_place(may_wait=False),
         )
         # An upstream's own failure, for the case that no other one does better.
-        self._own_failure: WholeAnswer | None = None
+        self._own_failure: FullResponse | None = None
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Stop all work, since the caller has gone; from any thread."""
         with self._lock:
             self._gone = True
             ticket, sending = self._ticket, self._sending
         if ticket is not None:
-            self._desk.withdraw(ticket)
+            self._dispatcher.withdraw(ticket)
         self._decided.set()
         if sending is not None:
             sending.cancel()
@@ -133,15 +146,15 @@
         the upstream taken for good, and the entry would run out of places.
         """
         if self._current is not None:
-            self._end(self._current, Outcome.LEFT)
-        self.relocation.give_back()
+            self._end(self._current, AttemptOutcome.LEFT)
+        self.relocation.release()
 
     @property
-    def gone(self) -> bool:
+    def caller_gone(self) -> bool:
         """Whether the caller has gone."""
         return self._gone
 
-    def first(self) -> FirstAnswer:
+    def handle(self) -> HandlerResult:
         """Return a whole answer, the beginning of a stream, or a refusal."""
         while True:
             attempt = self._attempt()
@@ -157,10 +170,10 @@
 
     def _attempt(self) -> _Attempt | Problem:
         """Wait for a place and send; return the attempt or why there is none."""
-        place = self.relocation.take() or self._wait_for_place(may_wait=True)
+        place = self.relocation.take_slot() or self._wait_for_place(may_wait=True)
         if place is None:
-            return turned_down(self._decision, may_have_run=self._may_have_run)
-        attempt = _Attempt(place=place, sending=Sending())
+            return no_slot_available(self._decision, may_have_run=self._may_have_run)
+        attempt = _Attempt(place=place, sending=RequestHandle())
         self._current = attempt
         with self._lock:
             self._sending = attempt.sending
@@ -168,17 +181,19 @@
         # Time has passed in line, and the machine may have been suspended.
         left_s = self._left_s()
         if gone or left_s < ATTEMPT_MIN_S:
-            self._end(attempt, Outcome.LEFT)
-            return out_of_time("time ran out in line", may_have_run=self._may_have_run)
+            self._end(attempt, AttemptOutcome.LEFT)
+            return deadline_exceeded(
+                "time ran out in line", may_have_run=self._may_have_run
+            )
         self._send(attempt, left_s)
         return attempt
 
-    def _wait_for_place(self, *, may_wait: bool) -> Place | None:
+    def _wait_for_place(self, *, may_wait: bool) -> HeldSlot | None:
         ticket = self._line_up(may_wait)
         self._wait(ticket)
         if not isinstance(self._decision, Dispatch):
             return None
-        return Place(upstream=self._decision.upstream, ticket=ticket)
+        return HeldSlot(upstream=self._decision.upstream, ticket=ticket)
 
     def _line_up(self, may_wait: bool) -> Ticket:
         accepted = self.accepted
@@ -189,9 +204,9 @@
             rank=accepted.rank,
             prompt_tokens=accepted.head.prompt_tokens or 0,
             answer_tokens=accepted.head.answer_tokens,
-            first_s=accepted.first_s,
+            first_s=accepted.first_arrived_s,
             quiet_since_s=self._quiet_since_s,
-            deadline_s=accepted.until_s,
+            deadline_s=accepted.deadline_s,
             target_s=accepted.route.target_s,
             patience_s=accepted.route.patience_s,
             returned=accepted.returned or self._may_have_run or bool(self._tried),
@@ -214,9 +229,9 @@
         if self._gone:
             return
         before_s = self._clock.monotonic_s()
-        self._desk.submit(ticket)
+        self._dispatcher.submit(ticket)
         if not self._decided.wait(max(0.0, self._left_s())) or self._gone:
-            self._desk.withdraw(ticket)
+            self._dispatcher.withdraw(ticket)
         self.waited_s += self._clock.monotonic_s() - before_s
 
     def _send(self, attempt: _Attempt, left_s: float) -> None:
@@ -226,18 +241,18 @@
             head=accepted.head,
             upstream=upstream,
             customer=accepted.customer.name if accepted.customer else None,
-            left_s=left_s,
-            after_event=self._last_event,
+            remaining_s=left_s,
+            last_event_id=self._last_event,
             reservation=attempt.place.reservation,
         )
-        sent = self._desk.connections(upstream).send(
-            sending=attempt.sending,
+        sent = self._dispatcher.connection_pool(upstream).send(
+            handle=attempt.sending,
             method=accepted.head.method,
             target=accepted.head.target,
             headers=headers,
             body=accepted.body,
             head_timeout_s=self._silence_s(),
-            on_silence=self._on_silence,
+            on_read_timeout=self._on_silence,
         )
         if isinstance(sent, Err):
             self._not_answered(attempt, sent.err_value)
@@ -245,53 +260,59 @@
         attempt.exchange = sent.ok_value
         self._check_head(attempt)
 
-    def _not_answered(self, attempt: _Attempt, error: NotSent | Unanswered) -> None:
+    def _not_answered(self, attempt: _Attempt, error: NotSent | NoResponse) -> None:
         attempt.detail = error.detail
         if isinstance(error, NotSent):
             # Broken off for a caller that left, it says nothing of the upstream.
-            outcome = Outcome.LEFT if self._gone else Outcome.UNREACHABLE
+            outcome = AttemptOutcome.LEFT if self._gone else AttemptOutcome.UNREACHABLE
             self._end(attempt, outcome)
             return
         self._ran()
-        outcome = Outcome.SILENT if error.timed_out else Outcome.BROKEN
-        self._end(attempt, Outcome.LEFT if self._gone else outcome)
+        outcome = AttemptOutcome.SILENT if error.timed_out else AttemptOutcome.BROKEN
+        self._end(attempt, AttemptOutcome.LEFT if self._gone else outcome)
 
     def _check_head(self, attempt: _Attempt) -> None:
         exchange = attempt.exchange
-        if self._dialect.misdirected(exchange):
-            self._end(attempt, Outcome.MISDIRECTED)
-        elif self._dialect.never_ran(exchange):
+        if self._dialect.is_misdirected(exchange):
+            self._end(attempt, AttemptOutcome.MISDIRECTED)
+        elif self._dialect.is_not_run(exchange):
             self._drain(exchange)
-            self._end(attempt, Outcome.NOT_RUN)
-        elif not self._dialect.answers(exchange, self.accepted.head):
+            self._end(attempt, AttemptOutcome.NOT_RUN)
+        elif not self._dialect.is_valid_response(exchange, self.accepted.head):
             # Another request's answer, or bytes that only look like one. This
             # request was sent, so it may run all the same.
             self._ran()
             attempt.detail = f"foreign answer, status {exchange.status}"
-            self._end(attempt, Outcome.FAILED)
+            self._end(attempt, AttemptOutcome.FAILED)
         else:
             self._ran()
 
-    def _drain(self, exchange: Exchange) -> None:
+    def _drain(self, exchange: UpstreamResponse) -> None:
         """Read a short answer to its end, so that its connection can be kept."""
-        exchange.end_at_silence()
+        exchange.enforce_read_timeouts()
         until_s = self._clock.monotonic_s() + DRAIN_BODY_S
         try:
-            exchange.read_whole(until_s, self._clock)
-        except AnswerCut as error:
+            exchange.read_all(until_s, self._clock)
+        except IncompleteResponse as error:
             log.debug("refusal without an end", error=str(error))
 
-    def _end(self, attempt: _Attempt, outcome: Outcome) -> None:
+    def _end(self, attempt: _Attempt, outcome: AttemptOutcome) -> None:
         """Close the attempt, once."""
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
-        attempt.sending.ended()
+        attempt.sending.detach()
         self.trail.append(f"{attempt.upstream.upstream_id}:{outcome.value}")
         if attempt.exchange is not None:
-            keep = outcome in (Outcome.ANSWERED, Outcome.FAILED, Outcome.NOT_RUN)
+            keep = outcome in (
+                AttemptOutcome.ANSWERED,
+                AttemptOutcome.FAILED,
+                AttemptOutcome.NOT_RUN,
+            )
             attempt.exchange.close(keep=keep)
-        self._desk.ended(attempt.ticket, attempt.upstream, self.accepted, outcome)
+        self._dispatcher.attempt_ended(
+            attempt.ticket, attempt.upstream, self.accepted, outcome
+        )
 
     def _ran(self) -> None:
         self._may_have_run = True
@@ -299,7 +320,7 @@
 
     # The answer
 
-    def _begin(self, attempt: _Attempt) -> FirstAnswer | None:
+    def _begin(self, attempt: _Attempt) -> HandlerResult | None:
         """Return what can be passed on of an attempt's answer, if anything."""
         if attempt.outcome is not None:
             return None
@@ -307,16 +328,16 @@
             return self._begin_stream(attempt)
         return self._whole_answer(attempt)
 
-    def _whole_answer(self, attempt: _Attempt) -> WholeAnswer | None:
+    def _whole_answer(self, attempt: _Attempt) -> FullResponse | None:
         exchange = attempt.exchange
         try:
-            body = exchange.read_whole(self.accepted.until_s, self._clock)
-        except AnswerCut as error:
+            body = exchange.read_all(self.accepted.deadline_s, self._clock)
+        except IncompleteResponse as error:
             self._cut(attempt, error)
             return None
         is_failure = exchange.status >= 500
-        outcome = Outcome.FAILED if is_failure else Outcome.ANSWERED
-        answer = WholeAnswer(
+        outcome = AttemptOutcome.FAILED if is_failure else AttemptOutcome.ANSWERED
+        answer = FullResponse(
             status=exchange.status, headers=exchange.headers, body=body
         )
         self._end(attempt, outcome)
@@ -325,18 +346,18 @@
             return None
         return answer
 
-    def _begin_stream(self, attempt: _Attempt) -> StreamAnswer | None:
+    def _begin_stream(self, attempt: _Attempt) -> StreamResponse | None:
         """Wait for the first event: until then another upstream may do it all."""
         bodies = self._events(attempt)
         try:
             first = next(bodies, b"")
-        except AnswerCut:
+        except IncompleteResponse:
             return None
         exchange = attempt.exchange
-        return StreamAnswer(
+        return StreamResponse(
             status=exchange.status,
             headers=exchange.headers,
-            bodies=self._joined(first, bodies),
+            chunks=self._joined(first, bodies),
         )
 
     def _events(self, attempt: _Attempt) -> Iterator[bytes]:
@@ -351,25 +372,29 @@
                     continue
                 now_s = self._clock.monotonic_s()
                 if before_s is not None:
-                    self._desk.stepped(attempt.upstream, now_s - before_s)
+                    self._dispatcher.event_interval_measured(
+                        attempt.upstream, now_s - before_s
+                    )
                 else:
-                    self._desk.began(attempt.ticket, attempt.upstream)
+                    self._dispatcher.first_event_received(
+                        attempt.ticket, attempt.upstream
+                    )
                 before_s = self._quiet_since_s = now_s
-                self.relocation.heard()
+                self.relocation.clear_declined()
                 count += 1
                 self._note_events(events)
                 yield events.body
             if rest := splitter.rest():
                 yield rest
-            self._desk.written(attempt.ticket, count)
-            self._end(attempt, Outcome.ANSWERED)
+            self._dispatcher.stream_completed(attempt.ticket, count)
+            self._end(attempt, AttemptOutcome.ANSWERED)
         except EventTooLong as error:
-            self._end(attempt, Outcome.FAILED)
-            raise AnswerCut("an event without end") from error
-        except AnswerCut as error:
+            self._end(attempt, AttemptOutcome.FAILED)
+            raise IncompleteResponse("an event without end") from error
+        except IncompleteResponse as error:
             raise self._cut(attempt, error) from error
         finally:
-            self._end(attempt, Outcome.LEFT)
+            self._end(attempt, AttemptOutcome.LEFT)
 
     def _note_events(self, events: Events) -> None:
         """Note the last event, unless these are the pieces of another run.
@@ -380,7 +405,7 @@
             return
         before = int(self._last_event) if self._last_event is not None else None
         if not events.rising or (before is not None and events.first_id <= before):
-            raise AnswerCut(f"event {events.first_id} came after {before}")
+            raise IncompleteResponse(f"event {events.first_id} came after {before}")
         self._last_event = str(events.event_id)
 
     def _joined(self, first: bytes, bodies: Iterator[bytes]) -> Iterator[bytes]:
@@ -394,10 +419,10 @@
             try:
                 yield from bodies
                 return
-            except AnswerCut as error:
+            except IncompleteResponse as error:
                 bodies = self._resumed(error)
 
-    def _resumed(self, error: AnswerCut) -> Iterator[bytes]:
+    def _resumed(self, error: IncompleteResponse) -> Iterator[bytes]:
         if self._gone or not self._may_run_again():
             raise error
         if not self._can_retry(self._current):
@@ -407,16 +432,16 @@
             raise error
         if attempt.outcome is None and attempt.exchange.status == 200:
             return self._events(attempt)
-        self._end(attempt, Outcome.FAILED)
+        self._end(attempt, AttemptOutcome.FAILED)
         return self._resumed(error)
 
-    def _cut(self, attempt: _Attempt, error: AnswerCut) -> AnswerCut:
+    def _cut(self, attempt: _Attempt, error: IncompleteResponse) -> IncompleteResponse:
         """End an attempt whose answer was cut; return the cut with its reason."""
-        outcome = Outcome.SILENT if error.timed_out else Outcome.BROKEN
+        outcome = AttemptOutcome.SILENT if error.timed_out else AttemptOutcome.BROKEN
         if self._gone or self._left_s() <= 0.0:
-            outcome = Outcome.LEFT
+            outcome = AttemptOutcome.LEFT
             if error.timed_out and not self._gone:
-                error = AnswerCut("the time for it ran out", timed_out=True)
+                error = IncompleteResponse("the time for it ran out", timed_out=True)
         attempt.detail = str(error)
         self._end(attempt, outcome)
         return error
@@ -448,11 +473,11 @@
         if self.relocation.is_prepared:
             # The retry was taken from the budget with the place.
             return True
-        if attempt.outcome is Outcome.UNREACHABLE:
+        if attempt.outcome is AttemptOutcome.UNREACHABLE:
             self._unreached += 1
             if self._unreached <= UNREACHED_MAX:
                 return True
-        return self._desk.may_retry(self.accepted.service)
+        return self._dispatcher.take_retry(self.accepted.service)
 
     # Silence
 
@@ -484,9 +509,9 @@
         return self._may_run_again(uncounted) and self.relocation.is_possible()
 
     def _left_s(self) -> float:
-        return self.accepted.until_s - self._clock.monotonic_s()
+        return self.accepted.deadline_s - self._clock.monotonic_s()
 
     def _failure(self, attempt: _Attempt) -> Problem:
-        if attempt.outcome is Outcome.LEFT or self._left_s() < ATTEMPT_MIN_S:
-            return out_of_time(attempt.detail, may_have_run=self._may_have_run)
-        return unanswered(attempt.detail, may_have_run=self._may_have_run)
+        if attempt.outcome is AttemptOutcome.LEFT or self._left_s() < ATTEMPT_MIN_S:
+            return deadline_exceeded(attempt.detail, may_have_run=self._may_have_run)
+        return no_complete_response(attempt.detail, may_have_run=self._may_have_run)
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -12,9 +12,14 @@
 from result import Err, Ok, Result
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.answers import answer_of
+from lavenderspoke.direct.attemptresults import attempt_result
 from lavenderspoke.direct.catalog import Catalog, Route
-from lavenderspoke.direct.desk import Accepted, Look, Outcome
+from lavenderspoke.direct.clusterview import ClusterView
+from lavenderspoke.direct.dispatcher import (
+    AcceptedRequest,
+    AttemptOutcome,
+    RelocationResult,
+)
 from lavenderspoke.direct.exchange import ConnectionPool
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.messages import PassedOn, SharedState
@@ -24,7 +29,6 @@
 from lavenderspoke.direct.scheduler import RETRY_AFTER_MIN_S, RETURN_PART, Scheduler
 from lavenderspoke.direct.settings import RETRY_PART, Bounds
 from lavenderspoke.direct.sharing import Peers, Returns, Whereabouts
-from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.direct.tickets import Rank, Ticket
 from lavenderspoke.direct.usage import Rows
 from lavenderspoke.direct.verdicts import Verdicts
@@ -56,7 +60,7 @@
 log = logbook.Logger(__name__)
 
 
-class Office:
+class DirectDispatcher:
     """The decisions of one entry, safe for threads."""
 
     def __init__(
@@ -111,7 +115,7 @@
         weights = [share.weight for share in route.shares]
         return self._random.choices(route.shares, weights)[0].service
 
-    def admit(self, accepted: Accepted) -> Result[Accepted, Problem]:
+    def admit(self, accepted: AcceptedRequest) -> Result[AcceptedRequest, Problem]:
         """Check a request's content and its customer's limit."""
         with self._lock:
             now_s = self._now_s()
@@ -123,39 +127,39 @@
             refused = self._spend(accepted, now_s, returned=first_s is not None)
             if refused is not None:
                 # It is told when to come back, so it counts as one that did.
-                self._returns.refused(fingerprint, first_s or accepted.first_s)
+                self._returns.refused(fingerprint, first_s or accepted.first_arrived_s)
                 return Err(refused)
         if first_s is None:
             return Ok(accepted)
-        return Ok(attrs.evolve(accepted, returned=True, first_s=first_s))
+        return Ok(attrs.evolve(accepted, returned=True, first_arrived_s=first_s))
 
     def _spend(
-        self, accepted: Accepted, now_s: float, *, returned: bool
+        self, accepted: AcceptedRequest, now_s: float, *, returned: bool
     ) -> Problem | None:
         customer = accepted.customer
         if customer is None:
             return None
-        cost = customer.cost(accepted.head.tokens)
+        cost = customer.cost(accepted.head.total_tokens)
         rank = accepted.route.rank
         if self._quota.spend(customer, cost, rank=rank, now_s=now_s, returned=returned):
             return None
         wait_s = self._quota.wait_s(customer, cost, rank=rank, now_s=now_s)
-        latest_s = max(0.0, (accepted.until_s - now_s) * RETURN_PART)
+        latest_s = max(0.0, (accepted.deadline_s - now_s) * RETURN_PART)
         after_s = min(max(RETRY_AFTER_MIN_S, wait_s), LIMIT_WAIT_MAX_S, latest_s)
         detail = self._quota.explain(customer, cost, rank=rank, now_s=now_s)
         return not_run(Reason.CUSTOMER_LIMIT, detail, after_s)
 
-    def refused(self, accepted: Accepted, *, ran: Ran) -> None:
+    def note_refusal(self, accepted: AcceptedRequest, *, ran: Ran) -> None:
         """Note a request that got no answer from an upstream."""
         with self._lock:
-            self._returns.refused(accepted.fingerprint, accepted.first_s)
+            self._returns.refused(accepted.fingerprint, accepted.first_arrived_s)
             customer = accepted.customer
             if ran is Ran.NO and customer is not None:
-                cost = customer.cost(accepted.head.tokens)
+                cost = customer.cost(accepted.head.total_tokens)
                 rank, now_s = accepted.route.rank, self._now_s()
                 self._quota.refund(customer, cost, rank=rank, now_s=now_s)
 
-    # Desk
+    # Dispatcher
 
     def submit(self, ticket: Ticket) -> None:
         with self._lock:
@@ -165,7 +169,7 @@
         with self._lock:
             return self._scheduler.line(ticket.service).withdraw(ticket)
 
-    def began(self, ticket: Ticket, upstream: Upstream) -> None:
+    def first_event_received(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
             line = self._scheduler.line(ticket.service)
             late_s = line.began(ticket, upstream.upstream_id, self._now_s())
@@ -173,8 +177,12 @@
         tier = str(ticket.rank[1])
         self._metrics.observe(name, ticket.service, tier, abs(late_s))
 
-    def ended(
-        self, ticket: Ticket, upstream: Upstream, accepted: Accepted, outcome: Outcome
+    def attempt_ended(
+        self,
+        ticket: Ticket,
+        upstream: Upstream,
+        accepted: AcceptedRequest,
+        outcome: AttemptOutcome,
     ) -> None:
         self._metrics.count(ATTEMPTS, outcome.value)
         with self._lock:
@@ -182,16 +190,16 @@
             self._verdicts.ended(upstream, accepted, outcome, now_s)
             line = self._scheduler.line(ticket.service)
             line.ended(ticket, upstream.upstream_id, now_s)
-            answer = answer_of(ticket, accepted.route, outcome, now_s)
+            answer = attempt_result(ticket, accepted.route, outcome, now_s)
             if answer is not None:
                 self._rollouts.answered(upstream, answer)
 
-    def give_back(self, ticket: Ticket, upstream: Upstream) -> None:
+    def release_slot(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
             line = self._scheduler.line(ticket.service)
             line.give_back(ticket, upstream.upstream_id, self._now_s())
 
-    def connections(self, upstream: Upstream) -> ConnectionPool:
+    def connection_pool(self, upstream: Upstream) -> ConnectionPool:
         with self._lock:
             pool = self._connections.get(upstream.upstream_id)
             if pool is None:
@@ -201,27 +209,27 @@
                 self._connections[upstream.upstream_id] = pool
             return pool
 
-    def may_retry(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         with self._lock:
             may = self._allowance(service).spend(self._now_s())
         self._metrics.count(RETRIES, "sent" if may else "budget_spent")
         return may
 
-    def retry_unused(self, service: str) -> None:
+    def return_retry(self, service: str) -> None:
         with self._lock:
             self._allowance(service).give_back()
         self._metrics.count(RETRIES, "unused")
 
-    def looked(self, look: Look) -> None:
+    def relocation_checked(self, look: RelocationResult) -> None:
         self._metrics.count(LOOKS, look.value)
 
-    def written(self, ticket: Ticket, steps: int) -> None:
+    def stream_completed(self, ticket: Ticket, steps: int) -> None:
         with self._lock:
             ticket.events = steps
             pool = self._scheduler.line(ticket.service).pool
             pool.writing.wrote(tokens=ticket.answer_tokens, steps=steps)
 
-    def stepped(self, upstream: Upstream, step_s: float) -> None:
+    def event_interval_measured(self, upstream: Upstream, step_s: float) -> None:
         with self._lock:
             line = self._scheduler.line(upstream.service)
             seat = line.pool.seat(upstream.upstream_id)
@@ -246,7 +254,7 @@
             left = [each for each in self._connections if each not in listed]
             pools = {each: self._connections.pop(each) for each in left}
         for pool in pools.values():
-            pool.close()
+            pool.close_idle()
         for upstream in restarted:
             log.info("upstream started again", upstream=upstream.upstream_id)
             if upstream.upstream_id in pools:
@@ -275,7 +283,7 @@
 
     # Roll-outs
 
-    def ordered(self, order: Order) -> None:
+    def rollout_ordered(self, order: Order) -> None:
         """Take over an operator's order to move a service to another version."""
         with self._lock:
             self._rollouts.ordered(order, self._now_s())
@@ -300,7 +308,7 @@
             self._rollouts.stored(order, stage, elapsed_s, self._now_s())
             self._scheduler.rolled()
 
-    def rollout_wishes(self) -> list[Wish]:
+    def rollout_records_due(self) -> list[Wish]:
         """Return the roll-outs whose record is for this entry to write."""
         with self._lock:
             if not self._rollouts.is_any_running:
@@ -322,12 +330,12 @@
         """Return whether the platform's store has named the other entries."""
         return self._peers_listed
 
-    def heard(self, sender: InstanceId, state: SharedState) -> bool:
+    def receive_state(self, sender: InstanceId, state: SharedState) -> bool:
         """Take in what another entry told; return whether it is news."""
         with self._lock:
             return self._take_in(sender, state, self._now_s(), age_s=None)
 
-    def heard_passed_on(self, states: tuple[PassedOn, ...]) -> None:
+    def receive_relayed_states(self, states: tuple[PassedOn, ...]) -> None:
         """Take in what others told, as one of them passes it on."""
         with self._lock:
             now_s = self._now_s()
@@ -335,7 +343,7 @@
                 age_s = max(0.0, each.age_s)
                 self._take_in(each.sender, each.state, now_s, age_s=age_s)
 
-    def heard_of_crash(self, evidence: CrashEvidence) -> None:
+    def receive_crash_evidence(self, evidence: CrashEvidence) -> None:
         """Take in a crash that another entry saw."""
         with self._lock:
             self._verdicts.crashes.heard(evidence, self._now_s())
@@ -358,22 +366,22 @@
         with self._lock:
             return self._peers.known(self._now_s())
 
-    def heard_names(self) -> list[str]:
+    def live_peer_names(self) -> list[str]:
         """Return the names of the other entries that were heard just now."""
         with self._lock:
             return self._peers.heard_names(self._now_s())
 
-    def speaking_names(self) -> list[str]:
+    def direct_peer_names(self) -> list[str]:
         """Return the names of those that told this entry something just now."""
         with self._lock:
             return self._peers.speaking_names(self._now_s())
 
-    def gone_peers(self) -> list[str]:
+    def forget_gone_peers(self) -> list[str]:
         """Forget the entries that are gone and return their addresses."""
         with self._lock:
             return self._peers.gone(self._now_s())
 
-    def news(self, *, leaving: bool) -> list[SharedState | CrashEvidence]:
+    def outgoing_updates(self, *, leaving: bool) -> list[SharedState | CrashEvidence]:
         """Return what the other entries are to be told now."""
         with self._lock:
             running, waiting, held = {}, {}, {}
@@ -429,11 +437,11 @@
         if self._rollouts.tick(places, self._surroundings(now_s), now_s):
             self._scheduler.rolled()
 
-    def _surroundings(self, now_s: float) -> Surroundings:
-        return Surroundings(
+    def _surroundings(self, now_s: float) -> ClusterView:
+        return ClusterView(
             name=self._name,
-            heard=tuple(self._peers.heard_names(now_s)),
-            known=1 + len(self._peers.known(now_s)),
+            live_peers=tuple(self._peers.heard_names(now_s)),
+            known_entries=1 + len(self._peers.known(now_s)),
             orders_age_s=now_s - self._orders_read_s,
             bounds=self.bounds.rollout,
         )
--- a/lavenderspoke/direct/readiness.py
+++ b/lavenderspoke/direct/readiness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from lavenderspoke.direct.server import ServerPart
+from lavenderspoke.direct.server import SupervisedServer
 from lavenderspoke.direct.settings import Address
 from lavenderspoke.http.callerrequest import StartResponse
 from lavenderspoke.http.server import HttpServer
@@ -12,7 +12,7 @@
 METRICS_PATH = "/metrics"
 
 
-class ReadinessServer(ServerPart):
+class ReadinessServer(SupervisedServer):
     """Answers 200 while callers may come and 503 otherwise, on any path.
 
     `/metrics` on the same address shows counters and latencies as text.
@@ -28,7 +28,7 @@
         self._ready = ready
         self._metrics = metrics
 
-    def make(self) -> HttpServer:
+    def create_server(self) -> HttpServer:
         return HttpServer(
             host=self._address.host,
             port=self._address.port,
--- a/lavenderspoke/direct/refusals.py
+++ b/lavenderspoke/direct/refusals.py
@@ -27,24 +27,24 @@
     )
 
 
-def turned_down(decision: Refuse | None, *, may_have_run: bool) -> Problem:
+def no_slot_available(decision: Refuse | None, *, may_have_run: bool) -> Problem:
     """Return what to say of a request that got no place; None is one out of time."""
     if decision is None:
-        return out_of_time("time ran out in line", may_have_run=may_have_run)
+        return deadline_exceeded("time ran out in line", may_have_run=may_have_run)
     reason = REASONS[decision.reason]
     if may_have_run:
         return _unknown(Reason.ANSWER_INCOMPLETE, "try again later")
     return not_run(reason, "try again later", decision.retry_after_s)
 
 
-def out_of_time(detail: str, *, may_have_run: bool) -> Problem:
+def deadline_exceeded(detail: str, *, may_have_run: bool) -> Problem:
     """Return what to say of a request whose time is up."""
     if may_have_run:
         return _unknown(Reason.DEADLINE_EXPIRED, detail)
     return not_run(Reason.DEADLINE_UNREACHABLE, detail, SOON_S)
 
 
-def unanswered(detail: str, *, may_have_run: bool) -> Problem:
+def no_complete_response(detail: str, *, may_have_run: bool) -> Problem:
     """Return what to say of a request that no upstream answered whole."""
     if may_have_run:
         return _unknown(Reason.ANSWER_INCOMPLETE, detail)
--- a/lavenderspoke/direct/relocation.py
+++ b/lavenderspoke/direct/relocation.py
@@ -12,16 +12,21 @@
 from result import Ok
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.desk import Accepted, Desk, Look, Outcome
 from lavenderspoke.direct.dialect import Dialect
-from lavenderspoke.direct.exchange import Sending
+from lavenderspoke.direct.dispatcher import (
+    AcceptedRequest,
+    AttemptOutcome,
+    Dispatcher,
+    RelocationResult,
+)
+from lavenderspoke.direct.exchange import RequestHandle
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.reserving import reserve
+from lavenderspoke.direct.reserving import reserve_slot
 from lavenderspoke.direct.tickets import Ticket
 
 
 @attrs.frozen(kw_only=True)
-class Place:
+class HeldSlot:
     """A place at an upstream that a request holds.
 
     `reservation` names it there, where the upstream has confirmed it.
@@ -35,83 +40,87 @@
 class Relocation:
     """What one request needs to leave a silent upstream; used by one thread.
 
-    `free_place` returns a place that is free as far as the entry knows, without waiting
-    for one. `declined` names upstreams that reserved nothing; `looks` counts what was
-    found.
+    `find_free_slot` returns a slot that is free as far as the entry knows, without
+    waiting for one. `declined` names upstreams that reserved nothing; `results` counts
+    what was found.
     """
 
     def __init__(
         self,
         *,
-        accepted: Accepted,
-        desk: Desk,
+        accepted: AcceptedRequest,
+        dispatcher: Dispatcher,
         dialect: Dialect,
         clock: Clock,
-        free_place: Callable[[], Place | None],
+        find_free_slot: Callable[[], HeldSlot | None],
     ):
-        self.looks: Counter[str] = Counter()
+        self.results: Counter[str] = Counter()
         self.declined: set[str] = set()
         self._accepted = accepted
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._dialect = dialect
         self._clock = clock
-        self._free_place = free_place
-        self._place: Place | None = None
+        self._find_free_slot = find_free_slot
+        self._slot: HeldSlot | None = None
 
     @property
     def is_prepared(self) -> bool:
         """Whether a retry and a place elsewhere are held."""
-        return self._place is not None
+        return self._slot is not None
 
     def is_possible(self) -> bool:
         """Return whether upstreams reserve places for such a request."""
-        return self._dialect.reserves(self._accepted.head)
+        return self._dialect.supports_reservation(self._accepted.head)
 
-    def prepare(self, current: Sending) -> bool:
+    def prepare(self, current: RequestHandle) -> bool:
         """Take a retry and a place elsewhere, unless the upstream speaks meanwhile."""
         look = self._look()
-        if look is Look.FOUND and current.has_unread_data():
-            self.give_back()
-            look = Look.SPOKE
-        self.looks[look.value] += 1
-        self._desk.looked(look)
-        return look is Look.FOUND
-
-    def take(self) -> Place | None:
+        if look is RelocationResult.FOUND and current.has_unread_data():
+            self.release()
+            look = RelocationResult.SPOKE
+        self.results[look.value] += 1
+        self._dispatcher.relocation_checked(look)
+        return look is RelocationResult.FOUND
+
+    def take_slot(self) -> HeldSlot | None:
         """Return the place that is held, which is the caller's from now on."""
-        place, self._place = self._place, None
+        place, self._slot = self._slot, None
         return place
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Give the place and the retry back, if they are held."""
-        place = self.take()
+        place = self.take_slot()
         if place is not None:
-            self._desk.give_back(place.ticket, place.upstream)
-            self._desk.retry_unused(self._accepted.service)
+            self._dispatcher.release_slot(place.ticket, place.upstream)
+            self._dispatcher.return_retry(self._accepted.service)
 
-    def heard(self) -> None:
+    def clear_declined(self) -> None:
         """Forget who declined: the upstream isn't silent any more."""
         self.declined.clear()
 
-    def _look(self) -> Look:
+    def _look(self) -> RelocationResult:
         service = self._accepted.service
-        if not self._desk.may_retry(service):
-            return Look.NO_RETRY
-        place = self._free_place()
-        self._place = None if place is None else self._reserved(place)
-        if self._place is not None:
-            return Look.FOUND
-        self._desk.retry_unused(service)
-        return Look.NO_PLACE if place is None else Look.NOT_RESERVED
-
-    def _reserved(self, place: Place) -> Place | None:
+        if not self._dispatcher.take_retry(service):
+            return RelocationResult.NO_RETRY
+        place = self._find_free_slot()
+        self._slot = None if place is None else self._reserved(place)
+        if self._slot is not None:
+            return RelocationResult.FOUND
+        self._dispatcher.return_retry(service)
+        return (
+            RelocationResult.NO_PLACE
+            if place is None
+            else RelocationResult.NOT_RESERVED
+        )
+
+    def _reserved(self, place: HeldSlot) -> HeldSlot | None:
         """Return the place once its upstream has reserved it, or give it back."""
         upstream, ticket = place.upstream, place.ticket
-        reserved = reserve(
-            call=self._dialect.reservation_call(
+        reserved = reserve_slot(
+            call=self._dialect.reservation_request(
                 head=self._accepted.head, upstream=upstream
             ),
-            connections=self._desk.connections(upstream),
+            connections=self._dispatcher.connection_pool(upstream),
             dialect=self._dialect,
             clock=self._clock,
         )
@@ -119,8 +128,8 @@
             return attrs.evolve(place, reservation=reserved.ok_value)
         self.declined.add(upstream.upstream_id)
         outcome = reserved.err_value.outcome
-        if outcome is Outcome.NOT_RUN:
-            self._desk.give_back(ticket, upstream)
+        if outcome is AttemptOutcome.NOT_RUN:
+            self._dispatcher.release_slot(ticket, upstream)
         else:
-            self._desk.ended(ticket, upstream, self._accepted, outcome)
+            self._dispatcher.attempt_ended(ticket, upstream, self._accepted, outcome)
         return None
--- a/lavenderspoke/direct/reserving.py
+++ b/lavenderspoke/direct/reserving.py
@@ -10,9 +10,14 @@
 from result import Err, Ok, Result
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.desk import Outcome
-from lavenderspoke.direct.dialect import Dialect, UpstreamCall
-from lavenderspoke.direct.exchange import AnswerCut, ConnectionPool, NotSent, Sending
+from lavenderspoke.direct.dialect import ControlRequest, Dialect
+from lavenderspoke.direct.dispatcher import AttemptOutcome
+from lavenderspoke.direct.exchange import (
+    ConnectionPool,
+    IncompleteResponse,
+    NotSent,
+    RequestHandle,
+)
 
 # How long an upstream may take to answer, in seconds. Its caller waits meanwhile for a
 # stream that is late already.
@@ -25,16 +30,16 @@
 class NotReserved:
     """No place was reserved; `outcome` is what this says of the upstream."""
 
-    outcome: Outcome
+    outcome: AttemptOutcome
     detail: str
 
 
-def reserve(
-    *, call: UpstreamCall, connections: ConnectionPool, dialect: Dialect, clock: Clock
+def reserve_slot(
+    *, call: ControlRequest, connections: ConnectionPool, dialect: Dialect, clock: Clock
 ) -> Result[str, NotReserved]:
     """Reserve a place at an upstream; return what names it there."""
     sent = connections.send(
-        sending=Sending(),
+        handle=RequestHandle(),
         method=call.method,
         target=call.target,
         headers=call.headers,
@@ -45,24 +50,26 @@
         # A kept connection that breaks or an answer that is late says nothing of the
         # requests that run there.
         is_away = isinstance(sent.err_value, NotSent)
-        outcome = Outcome.UNREACHABLE if is_away else Outcome.NOT_RUN
+        outcome = AttemptOutcome.UNREACHABLE if is_away else AttemptOutcome.NOT_RUN
         return _not_reserved(outcome, sent.err_value.detail)
     exchange = sent.ok_value
     try:
-        body = exchange.read_whole(clock.monotonic_s() + ANSWER_S, clock)
-    except AnswerCut as error:
+        body = exchange.read_all(clock.monotonic_s() + ANSWER_S, clock)
+    except IncompleteResponse as error:
         exchange.close(keep=False)
-        return _not_reserved(Outcome.NOT_RUN, str(error))
-    is_misdirected = dialect.misdirected(exchange)
+        return _not_reserved(AttemptOutcome.NOT_RUN, str(error))
+    is_misdirected = dialect.is_misdirected(exchange)
     exchange.close(keep=not is_misdirected)
     if is_misdirected:
-        return _not_reserved(Outcome.MISDIRECTED, "another upstream answers there")
-    name = dialect.reservation(exchange, body)
+        return _not_reserved(
+            AttemptOutcome.MISDIRECTED, "another upstream answers there"
+        )
+    name = dialect.parse_reservation(exchange, body)
     if name is None:
-        return _not_reserved(Outcome.NOT_RUN, f"status {exchange.status}")
+        return _not_reserved(AttemptOutcome.NOT_RUN, f"status {exchange.status}")
     return Ok(name)
 
 
-def _not_reserved(outcome: Outcome, detail: str) -> Err[NotReserved]:
+def _not_reserved(outcome: AttemptOutcome, detail: str) -> Err[NotReserved]:
     log.debug("no place reserved", outcome=outcome.value, detail=detail)
     return Err(NotReserved(outcome=outcome, detail=detail))
--- a/lavenderspoke/direct/rolling.py
+++ b/lavenderspoke/direct/rolling.py
@@ -13,10 +13,10 @@
 import attrs
 import logbook
 
+from lavenderspoke.direct.clusterview import ClusterView
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.messages import RolloutNews
 from lavenderspoke.direct.rollout import Rollout, counts_of
-from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.rollouts.judging import Progress, Step, decide, target_share
@@ -151,14 +151,14 @@
             if stage is not rollout.stage:
                 self._go(rollout, Step(stage=stage, reason="the store's record"), now_s)
 
-    def wishes(self, surroundings: Surroundings, now_s: float) -> list[Wish]:
+    def wishes(self, cluster: ClusterView, now_s: float) -> list[Wish]:
         """Return the roll-outs whose record in the store is for this entry to write."""
         return [
             Wish(order=each.order, stage=each.stage, elapsed_s=each.elapsed_s(now_s))
             for each in self._rollouts.values()
             if self._wants_record(each)
-            and surroundings.knows_orders
-            and (surroundings.is_first or now_s >= each.wished_s + FIRST_LATE_S)
+            and cluster.orders_are_fresh
+            and (cluster.is_coordinator or now_s >= each.wished_s + FIRST_LATE_S)
         ]
 
     @staticmethod
@@ -247,16 +247,16 @@
     # Decisions
 
     def tick(
-        self, places: Mapping[str, Places], surroundings: Surroundings, now_s: float
+        self, places: Mapping[str, Places], cluster: ClusterView, now_s: float
     ) -> bool:
         """Go on where it is time; return whether access may have changed."""
-        changed = surroundings.in_touch != self._in_touch
-        self._in_touch = surroundings.in_touch
+        changed = cluster.is_connected != self._in_touch
+        self._in_touch = cluster.is_connected
         if now_s >= self._looked_s + LOOK_EVERY_S:
             self._looked_s = now_s
             for rollout in self._rollouts.values():
                 if not rollout.stage.is_final:
-                    self._look(rollout, places, surroundings, now_s)
+                    self._look(rollout, places, cluster, now_s)
                     changed = True
         if changed:
             self._access.clear()
@@ -266,21 +266,21 @@
         self,
         rollout: Rollout,
         places: Mapping[str, Places],
-        surroundings: Surroundings,
+        cluster: ClusterView,
         now_s: float,
     ) -> None:
         service = rollout.order.service
         progress = rollout.progress(
             places=places.get(service, Places()),
             answer_s=self._answer_s.get(service, 0.0),
-            surroundings=surroundings,
+            cluster=cluster,
             now_s=now_s,
         )
         step = decide(progress)
         is_end = step is not None and step.stage is Stage.COMPLETED
         rollout.due(is_end, now_s)
         if step is not None and not is_end:
-            if self._may_step(rollout, step, surroundings, now_s):
+            if self._may_step(rollout, step, cluster, now_s):
                 self._go(rollout, step, now_s, progress)
         rollout.canary.share = target_share(progress) if self._in_touch else 0.0
         rollout.canary.seen = {
@@ -289,12 +289,12 @@
 
     @staticmethod
     def _may_step(
-        rollout: Rollout, step: Step, surroundings: Surroundings, now_s: float
+        rollout: Rollout, step: Step, cluster: ClusterView, now_s: float
     ) -> bool:
-        if step.stage is Stage.STOPPED or surroundings.is_first:
+        if step.stage is Stage.STOPPED or cluster.is_coordinator:
             return True
         wanted_s = rollout.wanted_for_s(step.stage, now_s)
-        return surroundings.in_touch and wanted_s >= FIRST_LATE_S
+        return cluster.is_connected and wanted_s >= FIRST_LATE_S
 
     def _go(
         self,
--- a/lavenderspoke/direct/rollout.py
+++ b/lavenderspoke/direct/rollout.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
+from lavenderspoke.direct.clusterview import ClusterView
 from lavenderspoke.direct.messages import RolloutNews
-from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.model import InstanceId
 from lavenderspoke.rollouts.evidence import RouteTally, Tally, judge
 from lavenderspoke.rollouts.judging import Progress
@@ -111,7 +111,7 @@
         *,
         places: Places,
         answer_s: float,
-        surroundings: Surroundings,
+        cluster: ClusterView,
         now_s: float,
     ) -> Progress:
         """Return what is known over all entries."""
@@ -129,10 +129,10 @@
             requests_per_s=self._rate(requests, now_s),
             answer_s=answer_s,
             held=places.other_held(target),
-            all_heard=surroundings.all_heard,
+            all_heard=cluster.all_peers_live,
             target_slots=places.target_slots(target),
             other_slots=places.other_slots(target),
-            bounds=surroundings.bounds,
+            bounds=cluster.bounds,
         )
 
     def _rate(self, requests: int, now_s: float) -> float:
--- a/lavenderspoke/direct/server.py
+++ b/lavenderspoke/direct/server.py
@@ -18,7 +18,7 @@
 SHUTDOWN_S = 0.3
 
 
-class ServerPart:
+class SupervisedServer:
     """Runs cheroot's server on a thread of its own."""
 
     name = ""
@@ -27,13 +27,13 @@
         self.server: HttpServer | None = None
         self._thread: threading.Thread | None = None
 
-    def make(self) -> HttpServer:
+    def create_server(self) -> HttpServer:
         """Return a new server, ready to be prepared."""
         raise NotImplementedError
 
     def start(self) -> None:
         """Listen; raises OSError when the address is taken."""
-        self.server = self.make()
+        self.server = self.create_server()
         self.server.shutdown_timeout = SHUTDOWN_S
         self.server.prepare()
         self._thread = threading.Thread(
@@ -51,7 +51,7 @@
         return self._thread is not None and self._thread.is_alive()
 
 
-class CallerPart(ServerPart):
+class DirectServer(SupervisedServer):
     """The callers' server, under limits that change."""
 
     name = "callers"
@@ -69,7 +69,7 @@
         self._app = app
         self._limits = Limits()
 
-    def make(self) -> HttpServer:
+    def create_server(self) -> HttpServer:
         address = self._settings.callers
         # Used once: a server that is made again after a fault opens its own.
         listener, self._listener = self._listener, None
@@ -88,7 +88,7 @@
         """Return the number of requests that have come and aren't answered whole."""
         return self.server.in_flight() if self.server is not None else 0
 
-    def limit(self, limits: Limits) -> None:
+    def set_limits(self, limits: Limits) -> None:
         """Put other limits in force, for requests and connections from now on."""
         self._limits = limits
         if self.server is not None:
--- a/lavenderspoke/direct/talk.py
+++ b/lavenderspoke/direct/talk.py
@@ -18,7 +18,7 @@
     PassedOn,
     SharedState,
 )
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.direct.spreading import Spreading
 from lavenderspoke.model import InstanceId
@@ -61,12 +61,12 @@
     `tick` and `farewell` belong to one thread, `heard` may be called from another.
     """
 
-    def __init__(self, *, me: InstanceId, office: Office, clock: Clock):
+    def __init__(self, *, me: InstanceId, dispatcher: DirectDispatcher, clock: Clock):
         self._me = me
-        self._office = office
+        self._dispatcher = dispatcher
         self._clock = clock
         self._spreading = Spreading(
-            name=me.name, data_centre=office.whereabouts.data_centre
+            name=me.name, data_centre=dispatcher.whereabouts.data_centre
         )
         self._ticks = 0
         self._quiet_ticks = 0
@@ -79,8 +79,8 @@
     def tick(self) -> list[Letter]:
         """Serve the lines again and return what is to be told now."""
         self._ticks += 1
-        self._office.tick()
-        known = self._office.known_peers()
+        self._dispatcher.tick()
+        known = self._dispatcher.known_peers()
         self._spreading.arrange(
             {name: each.data_centre for name, each in known.items()}
         )
@@ -94,8 +94,8 @@
 
     def farewell(self) -> list[Letter]:
         """Return what all others are told when this entry leaves."""
-        state, *evidence = self._office.news(leaving=True)
-        known = self._office.known_peers()
+        state, *evidence = self._dispatcher.outgoing_updates(leaving=True)
+        known = self._dispatcher.known_peers()
         messages = (self._numbered(state), *evidence)
         return [letter for each in messages for letter in _letters(each, known)]
 
@@ -104,15 +104,15 @@
     ) -> list[Letter]:
         """Take in what another entry tells; return what is to be passed on at once."""
         if isinstance(message, GroupStates):
-            self._office.heard_passed_on(message.states)
+            self._dispatcher.receive_relayed_states(message.states)
             return self._to_neighbours(message)
-        is_news = self._office.heard(sender, message)
+        is_news = self._dispatcher.receive_state(sender, message)
         if is_news and sender.name in self._spreading.neighbours:
             self._note(sender, message)
         return []
 
     def _own_news(self, known: Mapping[str, Whereabouts], ticks: int) -> list[Letter]:
-        state, *evidence = self._office.news(leaving=False)
+        state, *evidence = self._dispatcher.outgoing_updates(leaving=False)
         self._quiet_ticks += ticks
         recipients = self._strangers(known)
         if state != self._told or self._quiet_ticks >= QUIET_TICKS:
@@ -157,8 +157,8 @@
         """Return what this entry's group told, for those groups that it speaks to."""
         with self._lock:
             pending, self._pending = self._pending, {}
-        speaking = set(self._office.speaking_names())
-        heard = set(self._office.heard_names())
+        speaking = set(self._dispatcher.direct_peer_names())
+        heard = set(self._dispatcher.live_peer_names())
         groups = [
             group
             for group in self._spreading.others
@@ -178,7 +178,7 @@
     def _to_neighbours(self, message: GroupStates) -> list[Letter]:
         if not message.to_neighbours:
             return []
-        known = self._office.known_peers()
+        known = self._dispatcher.known_peers()
         message = attrs.evolve(message, to_neighbours=False)
         return _letters(message, _named(self._spreading.neighbours, known))
 
--- a/lavenderspoke/direct/verdicts.py
+++ b/lavenderspoke/direct/verdicts.py
@@ -9,7 +9,7 @@
 import logbook
 
 from lavenderspoke.direct.crashes import CrashWatch
-from lavenderspoke.direct.desk import Accepted, Outcome
+from lavenderspoke.direct.dispatcher import AcceptedRequest, AttemptOutcome
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.pool import Seat
@@ -75,35 +75,39 @@
         return restarted
 
     def ended(
-        self, upstream: Upstream, accepted: Accepted, outcome: Outcome, now_s: float
+        self,
+        upstream: Upstream,
+        accepted: AcceptedRequest,
+        outcome: AttemptOutcome,
+        now_s: float,
     ) -> None:
         """Take in what became of an attempt of this entry's."""
         fingerprint = accepted.fingerprint
-        if outcome is Outcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             self.crashes.answered(upstream.service, fingerprint)
-        elif outcome is Outcome.BROKEN:
+        elif outcome is AttemptOutcome.BROKEN:
             self.crashes.broke(upstream.upstream_id, fingerprint, now_s)
-        elif outcome is Outcome.UNREACHABLE:
+        elif outcome is AttemptOutcome.UNREACHABLE:
             self._died(upstream, now_s)
             self._unreached.add(upstream.upstream_id)
-        elif outcome is Outcome.MISDIRECTED:
+        elif outcome is AttemptOutcome.MISDIRECTED:
             self._died(upstream, now_s)
             self._note_gone(upstream.upstream_id, now_s)
             self._gone.add(upstream.upstream_id)
         seat = self._scheduler.line(upstream.service).pool.seat(upstream.upstream_id)
         if seat is None:
             return
-        if outcome is Outcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             seat.health.succeeded()
-        elif outcome is Outcome.FAILED:
+        elif outcome is AttemptOutcome.FAILED:
             seat.health.failed()
             self._look_at(seat, now_s)
-        elif outcome is Outcome.BROKEN:
+        elif outcome is AttemptOutcome.BROKEN:
             # A broken connection alone doesn't mean that the upstream is away;
             # if it is, the next connection is refused without any harm.
             seat.health.broke()
             self._look_at(seat, now_s)
-        elif outcome in (Outcome.SILENT, Outcome.UNREACHABLE):
+        elif outcome in (AttemptOutcome.SILENT, AttemptOutcome.UNREACHABLE):
             seat.health.unreachable(now_s)
 
     def heard(self, by: str, state: SharedState, now_s: float) -> None:
--- a/lavenderspoke/platform/daemon.py
+++ b/lavenderspoke/platform/daemon.py
@@ -92,7 +92,7 @@
         self._relay = Relay(
             peering=Peering(
                 name=entry.me.name,
-                heard=entry.office.heard_names,
+                heard=entry.dispatcher.live_peer_names,
                 tell=entry.tell,
             ),
             clock=clock,
@@ -106,19 +106,19 @@
             apply_s=_apply_s(settings.direct.bounds),
             in_force=entry.in_force,
             orders=Orders(
-                on_order=entry.office.ordered,
-                on_withdrawn=entry.office.order_withdrawn,
+                on_order=entry.dispatcher.rollout_ordered,
+                on_withdrawn=entry.dispatcher.order_withdrawn,
                 metrics=entry.metrics,
             ),
             on_change=entry.catalog_changed,
-            on_read=entry.office.orders_read,
+            on_read=entry.dispatcher.orders_read,
         )
         self._rollouts = StatusWriter(
             store=Store(address=settings.store),
             clock=clock,
             metrics=entry.metrics,
-            wishes=entry.office.rollout_wishes,
-            stored=entry.office.rollout_stored,
+            wishes=entry.dispatcher.rollout_records_due,
+            stored=entry.dispatcher.rollout_stored,
         )
         self._upstreams = UpstreamsFeed(
             store=Store(address=settings.store),
@@ -126,7 +126,7 @@
             relay=self._relay,
             metrics=entry.metrics,
             drain_s=settings.direct.bounds.drain_s,
-            on_change=entry.office.upstreams_changed,
+            on_change=entry.dispatcher.upstreams_changed,
         )
         self._entries = EntriesFeed(
             store=Store(address=settings.store),
@@ -135,7 +135,7 @@
             metrics=entry.metrics,
             name=entry.me.name,
             whereabouts=entry.whereabouts,
-            on_change=entry.office.peers_listed,
+            on_change=entry.dispatcher.peers_listed,
         )
 
     def parts(self) -> list[tuple[str, Part]]:
--- a/lavenderspoke/platform/wire.py
+++ b/lavenderspoke/platform/wire.py
@@ -7,8 +7,8 @@
 import logbook
 from result import Err, Ok, Result
 
-from lavenderspoke.direct.dialect import BadHead, CallerHead, UpstreamCall
-from lavenderspoke.direct.exchange import Exchange
+from lavenderspoke.direct.dialect import BadRequestHead, ControlRequest, RequestHead
+from lavenderspoke.direct.exchange import UpstreamResponse
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.http.hopbyhop import Headers, end_to_end
 from lavenderspoke.platform.decoding import parse_as
@@ -75,70 +75,72 @@
 class PlatformDialect:
     """The platform's way of speaking HTTP."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: Headers
-    ) -> Result[CallerHead, BadHead]:
+    ) -> Result[RequestHead, BadRequestHead]:
         """Decode a caller's request; the names of headers are case-blind."""
         values = {name.lower(): value for name, value in headers}
         request_id = values.get(ATTEMPT_ID.lower(), "")
         if not request_id:
-            return Err(BadHead(detail=f"{ATTEMPT_ID} is missing"))
+            return Err(BadRequestHead(detail=f"{ATTEMPT_ID} is missing"))
         deadline = values.get(DEADLINE.lower())
         deadline_in_s = None
         if deadline is not None:
             deadline_in_s = _seconds(deadline)
             if deadline_in_s is None:
-                return Err(BadHead(detail=f"{DEADLINE} is no time"))
+                return Err(BadRequestHead(detail=f"{DEADLINE} is no time"))
         tokens = _tokens(values.get(TOKENS.lower()))
         after_event = values.get(LAST_EVENT.lower())
         if after_event is not None and not _is_event(after_event):
-            return Err(BadHead(detail=f"{LAST_EVENT} is no number"))
+            return Err(BadRequestHead(detail=f"{LAST_EVENT} is no number"))
         return Ok(
-            CallerHead(
+            RequestHead(
                 request_id=request_id,
                 method=method,
                 target=target,
                 host=values.get("host", ""),
                 headers=end_to_end(headers, NOT_PASSED_ON),
-                key=_bearer(values.get(AUTHORIZATION.lower())),
+                api_key=_bearer(values.get(AUTHORIZATION.lower())),
                 deadline_in_s=deadline_in_s,
                 prompt_tokens=tokens[0] if tokens else None,
-                output_tokens=tokens[1] if tokens else None,
-                expected_tokens=_count(values.get(EXPECTED_TOKENS.lower(), "")),
-                after_event=after_event,
+                max_output_tokens=tokens[1] if tokens else None,
+                expected_output_tokens=_count(values.get(EXPECTED_TOKENS.lower(), "")),
+                last_event_id=after_event,
             )
         )
 
     def upstream_headers(
         self,
         *,
-        head: CallerHead,
+        head: RequestHead,
         upstream: Upstream,
         customer: str | None,
-        left_s: float,
-        after_event: str | None,
+        remaining_s: float,
+        last_event_id: str | None,
         reservation: str | None = None,
     ) -> dict[str, str]:
         """Return the headers for an upstream, with the time that is left."""
         headers = dict(head.headers)
-        headers[DEADLINE] = str(max(1, math.floor(left_s * MS_PER_S)))
+        headers[DEADLINE] = str(max(1, math.floor(remaining_s * MS_PER_S)))
         headers[EXPECTED_UPSTREAM] = upstream.name
         if customer is not None:
             headers[CUSTOMER] = customer
-        if after_event is not None:
-            headers[LAST_EVENT] = after_event
+        if last_event_id is not None:
+            headers[LAST_EVENT] = last_event_id
         if reservation is not None:
             headers[RESERVATION] = reservation
         return headers
 
-    def reserves(self, head: CallerHead) -> bool:
+    def supports_reservation(self, head: RequestHead) -> bool:
         """Return whether it goes to a model engine, which plain services aren't."""
-        return head.tokens is not None
+        return head.total_tokens is not None
 
-    def reservation_call(self, *, head: CallerHead, upstream: Upstream) -> UpstreamCall:
+    def reservation_request(
+        self, *, head: RequestHead, upstream: Upstream
+    ) -> ControlRequest:
         """Return the call that reserves a place with room for the longest answer."""
-        asked = {"token-count": head.tokens, "ttl-ms": RESERVED_MS}
-        return UpstreamCall(
+        asked = {"token-count": head.total_tokens, "ttl-ms": RESERVED_MS}
+        return ControlRequest(
             method="POST",
             target=RESERVE,
             headers={
@@ -149,9 +151,9 @@
             body=json.dumps(asked).encode(),
         )
 
-    def reservation(self, exchange: Exchange, body: bytes) -> str | None:
+    def parse_reservation(self, response: UpstreamResponse, body: bytes) -> str | None:
         """Return what names the reserved place, or None where there is no room."""
-        if exchange.status != 200:
+        if response.status != 200:
             return None
         parsed = parse_as(body, _Reserved)
         if isinstance(parsed, Err):
@@ -160,24 +162,24 @@
         name = parsed.ok_value.retention
         return name if name.isascii() and name.isalnum() else None
 
-    def never_ran(self, exchange: Exchange) -> bool:
+    def is_not_run(self, response: UpstreamResponse) -> bool:
         """Return whether the upstream says that it did not run the request."""
-        return exchange.status == MISDIRECTED or bool(exchange.header(NEVER_RAN))
+        return response.status == MISDIRECTED or bool(response.header(NEVER_RAN))
 
-    def misdirected(self, exchange: Exchange) -> bool:
+    def is_misdirected(self, response: UpstreamResponse) -> bool:
         """Return whether another upstream answers there than was asked."""
-        return exchange.status == MISDIRECTED
+        return response.status == MISDIRECTED
 
-    def answers(self, exchange: Exchange, head: CallerHead) -> bool:
+    def is_valid_response(self, response: UpstreamResponse, head: RequestHead) -> bool:
         """Return whether this is the upstream's own answer to that request.
 
         An answer to another request may come late on a kept connection, and a
         faulty upstream may send one that is encoded or not signed.
         """
         return (
-            exchange.header(ATTEMPT_ID) == head.request_id
-            and bool(exchange.header(SIGNATURE))
-            and not exchange.header(CONTENT_ENCODING)
+            response.header(ATTEMPT_ID) == head.request_id
+            and bool(response.header(SIGNATURE))
+            and not response.header(CONTENT_ENCODING)
         )
 
 
