--- a/lavenderspoke/direct/dissemination.py
+++ b/lavenderspoke/direct/dissemination.py
@@ -18,7 +18,7 @@
     PassedOn,
     SharedState,
 )
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.topology import GossipTopology
 from lavenderspoke.model import InstanceId
@@ -62,12 +62,12 @@
     another.
     """
 
-    def __init__(self, *, me: InstanceId, office: Office, clock: Clock):
+    def __init__(self, *, me: InstanceId, dispatcher: DirectDispatcher, clock: Clock):
         self._me = me
-        self._office = office
+        self._dispatcher = dispatcher
         self._clock = clock
         self._spreading = GossipTopology(
-            name=me.name, data_centre=office.whereabouts.data_centre
+            name=me.name, data_centre=dispatcher.whereabouts.data_centre
         )
         self._ticks = 0
         self._quiet_ticks = 0
@@ -80,8 +80,8 @@
     def tick(self) -> list[OutgoingMessage]:
         """Serve the lines again and return what is to be told now."""
         self._ticks += 1
-        self._office.tick()
-        known = self._office.known_peers()
+        self._dispatcher.tick()
+        known = self._dispatcher.known_peers()
         self._spreading.update({name: each.data_centre for name, each in known.items()})
         letters = []
         own_ticks = 1 + len(self._spreading.neighbours) // NEIGHBOURS_PER_TICK
@@ -96,8 +96,8 @@
 
     def leave_messages(self) -> list[OutgoingMessage]:
         """Return what all others are told when this entry leaves."""
-        state, *evidence = self._office.news(leaving=True)
-        known = self._office.known_peers()
+        state, *evidence = self._dispatcher.outgoing_updates(leaving=True)
+        known = self._dispatcher.known_peers()
         messages = (self._numbered(state), *evidence)
         return [letter for each in messages for letter in _letters(each, known)]
 
@@ -106,9 +106,9 @@
     ) -> list[OutgoingMessage]:
         """Take in what another entry tells; return what is to be passed on at once."""
         if isinstance(message, GroupStates):
-            self._office.heard_passed_on(message.states)
+            self._dispatcher.receive_relayed_states(message.states)
             return self._to_neighbours(message)
-        is_news = self._office.heard(sender, message)
+        is_news = self._dispatcher.receive_state(sender, message)
         if is_news and sender.name in self._spreading.neighbours:
             self._note(sender, message)
         return []
@@ -116,7 +116,7 @@
     def _own_news(
         self, known: Mapping[str, EntryLocation], ticks: int
     ) -> list[OutgoingMessage]:
-        state, *evidence = self._office.news(leaving=False)
+        state, *evidence = self._dispatcher.outgoing_updates(leaving=False)
         self._quiet_ticks += ticks
         recipients = self._strangers(known)
         if state != self._told or self._quiet_ticks >= QUIET_TICKS:
@@ -163,8 +163,8 @@
         """Return what this entry's group told, for those groups that it speaks to."""
         with self._lock:
             pending, self._pending = self._pending, {}
-        speaking = set(self._office.speaking_names())
-        heard = set(self._office.heard_names())
+        speaking = set(self._dispatcher.direct_peer_names())
+        heard = set(self._dispatcher.live_peer_names())
         groups = [
             group
             for group in self._spreading.other_groups
@@ -184,7 +184,7 @@
     def _to_neighbours(self, message: GroupStates) -> list[OutgoingMessage]:
         if not message.to_neighbours:
             return []
-        known = self._office.known_peers()
+        known = self._dispatcher.known_peers()
         message = attrs.evolve(message, to_neighbours=False)
         return _letters(message, _named(self._spreading.neighbours, known))
 
--- a/lavenderspoke/direct/verdicts.py
+++ b/lavenderspoke/direct/verdicts.py
@@ -9,7 +9,7 @@
 import logbook
 
 from lavenderspoke.direct.crashes import CrashDetector
-from lavenderspoke.direct.desk import Accepted, Outcome
+from lavenderspoke.direct.dispatcher import AcceptedRequest, AttemptOutcome
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.messages import SharedState
 from lavenderspoke.direct.peerreports import PeerReports
@@ -77,18 +77,22 @@
         return restarted
 
     def record_attempt(
-        self, upstream: Upstream, accepted: Accepted, outcome: Outcome, now_s: float
+        self,
+        upstream: Upstream,
+        accepted: AcceptedRequest,
+        outcome: AttemptOutcome,
+        now_s: float,
     ) -> None:
         """Take in what became of an attempt of this entry's."""
         fingerprint = accepted.fingerprint
-        if outcome is Outcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             self.crashes.record_answer(upstream.service, fingerprint)
-        elif outcome is Outcome.BROKEN:
+        elif outcome is AttemptOutcome.BROKEN:
             self.crashes.record_broken_answer(upstream.upstream_id, fingerprint, now_s)
-        elif outcome is Outcome.UNREACHABLE:
+        elif outcome is AttemptOutcome.UNREACHABLE:
             self._died(upstream, now_s)
             self._unreached.add(upstream.upstream_id)
-        elif outcome is Outcome.MISDIRECTED:
+        elif outcome is AttemptOutcome.MISDIRECTED:
             self._died(upstream, now_s)
             self._note_gone(upstream.upstream_id, now_s)
             self._gone.add(upstream.upstream_id)
@@ -97,17 +101,17 @@
         )
         if seat is None:
             return
-        if outcome is Outcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             seat.health.record_success()
-        elif outcome is Outcome.FAILED:
+        elif outcome is AttemptOutcome.FAILED:
             seat.health.record_failure()
             self._look_at(seat, now_s)
-        elif outcome is Outcome.BROKEN:
+        elif outcome is AttemptOutcome.BROKEN:
             # A broken connection alone doesn't mean that the upstream is away;
             # if it is, the next connection is refused without any harm.
             seat.health.record_broken_connection()
             self._look_at(seat, now_s)
-        elif outcome in (Outcome.SILENT, Outcome.UNREACHABLE):
+        elif outcome in (AttemptOutcome.SILENT, AttemptOutcome.UNREACHABLE):
             seat.health.record_unreachable(now_s)
 
     def merge_peer_state(self, by: str, state: SharedState, now_s: float) -> None:
