--- a/bench/driven.py
+++ b/bench/driven.py
@@ -6,7 +6,7 @@
 from lavenderspoke import messages
 from lavenderspoke.agentcore import AgentCore, AgentIdentity, AgentTimes
 from lavenderspoke.agentevents import DocumentInForce, Joined
-from lavenderspoke.capacity.slots import FixedLimit
+from lavenderspoke.capacity.limits import FixedLimit
 from lavenderspoke.core import Received, Tick
 from lavenderspoke.documents.service import (
     Customer,
--- a/features/corebag.py
+++ b/features/corebag.py
@@ -18,7 +18,7 @@
 from features.memorylog import MemoryLog
 from lavenderspoke import agentevents, entryevents
 from lavenderspoke.agentcore import AgentCore, AgentIdentity, AgentTimes
-from lavenderspoke.capacity.slots import FixedLimit
+from lavenderspoke.capacity.limits import FixedLimit
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.core import Count, Observe, Received, Send, Tick
 from lavenderspoke.documents.service import (
--- a/features/modeltraces.py
+++ b/features/modeltraces.py
@@ -9,7 +9,7 @@
 from lavenderspoke import messages
 from lavenderspoke.agentcore import AgentCore, AgentIdentity, AgentTimes
 from lavenderspoke.agentevents import Dispatch, DocumentInForce, Joined
-from lavenderspoke.capacity.slots import FixedLimit
+from lavenderspoke.capacity.limits import FixedLimit
 from lavenderspoke.core import Received, Send, Tick
 from lavenderspoke.entrycore import EntryCore, EntryIdentity, EntryTimes
 from lavenderspoke.entryevents import Arrived, Reply, RosterReached, RosterRecord
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -314,7 +314,7 @@
     assert (problem["reason"], problem["ran"]) == (reason, ran), problem
     assert set(problem) == {"type", "title", "status", "detail", "reason", "ran"}
     assert (context.response.header("Retry-After") or "none") == retry
-    assert context.metrics.counter("caller_answers", reason) == 1
+    assert context.metrics.counter_value("caller_answers", reason) == 1
 
 
 @then("the gateway has {count:d} arrivals")
@@ -338,7 +338,7 @@
     _, _, event = context.received.partition(b"event: error\ndata: ")
     assert json.loads(event.partition(b"\n\n")[0])["reason"] == reason
     assert not context.received.endswith(b"0\r\n\r\n"), context.received
-    assert context.metrics.counter("caller_answers", "broken") == 1
+    assert context.metrics.counter_value("caller_answers", "broken") == 1
 
 
 @then("the gateway is told that the caller has gone")
@@ -351,7 +351,7 @@
 @then('{count:d} "{reason}" answers are counted')
 def step_answers_counted(context, count, reason):
     wait_for(
-        lambda: context.metrics.counter("caller_answers", reason) == count,
+        lambda: context.metrics.counter_value("caller_answers", reason) == count,
         "the counter",
     )
 
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -2,14 +2,14 @@
 
 from behave import given, then
 
-from lavenderspoke.observing.metrics import OTHER, LatencyKey, Metrics
+from lavenderspoke.observing.metrics import OTHER_LABEL, LatencyKey, Metrics
 
 
 @given('metrics with 3 refusals for "{reason}" and latencies of 10, 20 and 30 ms')
 def step_metrics(context, reason):
     context.metrics = Metrics()
     context.metrics.count("refusals", reason, 3)
-    context.metrics.gauge("waiting", 7)
+    context.metrics.set_gauge("waiting", 7)
     for latency_s in (0.010, 0.020, 0.030):
         context.metrics.observe("answer", "narrative", "alerts", latency_s)
 
@@ -75,9 +75,9 @@
     snapshot = context.metrics.snapshot()
     assert sum(snapshot["counters"]["refusals"].values()) == 3000
     assert sum(each["count"] for each in snapshot["latencies"]) == 1000
-    assert context.metrics.counter("refusals", OTHER) > 0
+    assert context.metrics.counter_value("refusals", OTHER_LABEL) > 0
 
 
 @then("the counter reads {count:d}")
 def step_counter_reads(context, count):
-    assert context.metrics.counter("refusals", "shed") == count
+    assert context.metrics.counter_value("refusals", "shed") == count
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -1,8 +1,8 @@
 from behave import given, then, when
 
-from lavenderspoke.capacity.concurrency import WINDOW, ConcurrencyLimit
-from lavenderspoke.capacity.learnedlimit import LearnedLimit
-from lavenderspoke.capacity.straggler import PullCaution, StragglerDetector
+from lavenderspoke.capacity.adaptivelimit import AdaptiveLimit
+from lavenderspoke.capacity.concurrency import WINDOW_SAMPLES, ConcurrencyLimit
+from lavenderspoke.capacity.straggler import StragglerDetector, StragglerPullPolicy
 from lavenderspoke.retrybudget import RetryAllowance, RetryBudget
 
 
@@ -18,8 +18,8 @@
 
 @when("{count:d} windows show first tokens after {latency:g} s at the limit")
 def step_windows(context, count, latency):
-    for _ in range(count * WINDOW):
-        context.limit.first_token(latency, context.limit.limit)
+    for _ in range(count * WINDOW_SAMPLES):
+        context.limit.record_first_token(latency, context.limit.limit)
 
 
 @when(
@@ -27,23 +27,23 @@
     " but one after {long:g} s"
 )
 def step_windows_long(context, count, latency, long):
-    for number in range(count * WINDOW):
-        sample_s = latency if number % (2 * WINDOW) else long
-        context.limit.first_token(sample_s, context.limit.limit)
+    for number in range(count * WINDOW_SAMPLES):
+        sample_s = latency if number % (2 * WINDOW_SAMPLES) else long
+        context.limit.record_first_token(sample_s, context.limit.limit)
 
 
 @when(
     "{count:d} windows show first tokens after {latency:g} s with {running:d} running"
 )
 def step_windows_running(context, count, latency, running):
-    for _ in range(count * WINDOW):
-        context.limit.first_token(latency, running)
+    for _ in range(count * WINDOW_SAMPLES):
+        context.limit.record_first_token(latency, running)
 
 
 @when("{count:d} steps of {step:g} s are measured by the limit")
 def step_limit_steps(context, count, step):
     for _ in range(count):
-        context.limit.step(step)
+        context.limit.record_step(step)
 
 
 @then("the limit is {expected:d}")
@@ -58,11 +58,11 @@
 
 @given("a learned limit that has seen first tokens after {latency:g} s")
 def step_learned(context, latency):
-    context.learned, context.now_s = LearnedLimit(slots_max=8), 0.0
-    for number in range(WINDOW):
+    context.learned, context.now_s = AdaptiveLimit(slots_max=8), 0.0
+    for number in range(WINDOW_SAMPLES):
         context.learned.started(str(number), context.now_s)
         context.now_s += latency
-        context.learned.piece(str(number), context.now_s)
+        context.learned.piece_received(str(number), context.now_s)
         context.learned.finished(str(number), context.now_s)
 
 
@@ -80,7 +80,7 @@
 
 @when("its first token comes")
 def step_learned_token(context):
-    context.learned.piece("long", context.now_s)
+    context.learned.piece_received("long", context.now_s)
 
 
 @then("there is room beside it")
@@ -114,34 +114,34 @@
     for _ in range(count):
         context.now_s += step
         if context.peers_s is not None:
-            context.detector.peer("other", context.peers_s, context.now_s)
-        context.detector.step(step, now_s=context.now_s)
+            context.detector.record_peer_step("other", context.peers_s, context.now_s)
+        context.detector.record_step(step, now_s=context.now_s)
 
 
 @when("{seconds:g} s pass with {running:d} requests running")
 def step_stall(context, seconds, running):
-    context.detector.started(running, context.now_s)
+    context.detector.set_running(running, context.now_s)
     context.now_s += seconds
 
 
 @then("it is a straggler")
 def step_is_straggler(context):
-    assert context.detector.straggling(context.now_s)
+    assert context.detector.is_straggling(context.now_s)
 
 
 @then("it is no straggler")
 def step_is_no_straggler(context):
-    assert not context.detector.straggling(context.now_s)
+    assert not context.detector.is_straggling(context.now_s)
 
 
 @given("a pull caution")
 def step_caution(context):
-    context.caution = PullCaution()
+    context.caution = StragglerPullPolicy()
 
 
 def allows(context, which, now_s):
     waiting = {1: 5, 3: 2} if which == "the highest tier" else {1: 5}
-    return context.caution.allows(
+    return context.caution.allows_pull(
         straggling=True, waiting=waiting, highest_rank=3, now_s=now_s
     )
 
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -15,13 +15,13 @@
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.desk import Outcome
 from lavenderspoke.direct.records import KeyedRecord, Records
-from lavenderspoke.direct.rolling import Answer
+from lavenderspoke.direct.rolling import AttemptResult
 from lavenderspoke.direct.sharing import Whereabouts
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.rollouts import Orders, decode_order
+from lavenderspoke.rollouts.baseline import DurationKind
 from lavenderspoke.rollouts.orders import Order, Stage
-from lavenderspoke.rollouts.typical import Measure
 
 SHARE, TOLERANCE = 0.1, 50
 FINAL = ("completed", "rolled_back")
@@ -342,17 +342,19 @@
 
 @when("the new version answers {count:d} times within {seconds:g} s")
 def step_answers(context, count, seconds):
-    answer = Answer(route="r", durations_s={Measure.WHOLE: seconds}, whole_s=seconds)
+    answer = AttemptResult(
+        route="r", durations_s={DurationKind.UNSTREAMED: seconds}, total_s=seconds
+    )
     for _ in range(count):
-        context.entry.office._rollouts.answered(
+        context.entry.office._rollouts.record_attempt(
             upstream_of("new-0", version=NEW), answer
         )
 
 
 @then("an answer of {seconds:g} s counts as slow")
 def step_counts_as_slow(context, seconds):
-    typical = context.entry.office._rollouts._typical[SERVICE]
-    assert typical.is_slow("r", {Measure.WHOLE: seconds})
+    typical = context.entry.office._rollouts._baselines[SERVICE]
+    assert typical.is_slow("r", {DurationKind.UNSTREAMED: seconds})
 
 
 @when('a record says "{record}"')
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -264,7 +264,7 @@
     seen = set()
     for name, entry in context.world.entries.items():
         counts = {
-            reason.value: entry.metrics.counter(
+            reason.value: entry.metrics.counter_value(
                 CALLS, f"{entry.feed.topic}:{reason.value}"
             )
             for reason in CallReason
--- a/lavenderspoke/agent.py
+++ b/lavenderspoke/agent.py
@@ -5,8 +5,8 @@
 
 from lavenderspoke import agentevents as events
 from lavenderspoke.agentcore import AgentCore, AgentIdentity, AgentTimes
-from lavenderspoke.capacity.learnedlimit import LearnedLimit
-from lavenderspoke.capacity.slots import FixedLimit, Limit
+from lavenderspoke.capacity.adaptivelimit import AdaptiveLimit
+from lavenderspoke.capacity.limits import FixedLimit, Limit
 from lavenderspoke.config import AgentSettings
 from lavenderspoke.daemon import Daemon, new_id
 from lavenderspoke.documents.service import Kind
@@ -159,5 +159,5 @@
 def make_limit(settings: AgentSettings) -> Limit:
     """Return a limit that learns for engines, and a fixed one for the rest."""
     if settings.upstream.kind is Kind.MODEL and settings.learns_limit:
-        return LearnedLimit(slots_max=settings.slots_max)
+        return AdaptiveLimit(slots_max=settings.slots_max)
     return FixedLimit(slots=settings.slots_max)
--- a/lavenderspoke/agentcore.py
+++ b/lavenderspoke/agentcore.py
@@ -7,8 +7,8 @@
 
 from lavenderspoke import agentevents as events, messages
 from lavenderspoke.agentruns import AgentRuns
-from lavenderspoke.capacity.slots import FixedLimit, Limit
-from lavenderspoke.capacity.straggler import PullCaution
+from lavenderspoke.capacity.limits import FixedLimit, Limit
+from lavenderspoke.capacity.straggler import StragglerPullPolicy
 from lavenderspoke.core import Count, Received, Send, Tick
 from lavenderspoke.dispatching import PUSHED
 from lavenderspoke.documents.service import Service
@@ -84,7 +84,7 @@
         self.listed_leaving = False
         self._lease_until_s = 0.0
         self._accepts_pushed = accepts_pushed
-        self._caution = PullCaution()
+        self._caution = StragglerPullPolicy()
         self._highest_rank = 0
         self._outbox = Outbox(flush_s=times.flush_s)
         self.runs = AgentRuns(
@@ -142,7 +142,7 @@
         self.puller.expire(now_s)
         waiting = self.puller.waiting()
         self.limit.tick(now_s)
-        if not self._caution.allows(
+        if not self._caution.allows_pull(
             straggling=self.limit.straggling,
             waiting=waiting,
             highest_rank=self._highest_rank,
--- a/lavenderspoke/agentruns.py
+++ b/lavenderspoke/agentruns.py
@@ -6,7 +6,7 @@
 import attrs
 
 from lavenderspoke import agentevents as events, messages
-from lavenderspoke.capacity.slots import Limit
+from lavenderspoke.capacity.limits import Limit
 from lavenderspoke.core import Count, Send
 from lavenderspoke.ledger import Ledger, Run
 from lavenderspoke.messages import Piece
@@ -149,7 +149,7 @@
         self.ledger.add_piece(run, piece, now_s)
         # The head is no token: an engine may send it before it reads the prompt.
         if body:
-            self.limit.piece(run.request_id, now_s)
+            self.limit.piece_received(run.request_id, now_s)
         for entry in run.watchers:
             self.outbox.add(entry, piece, now_s)
 
--- a/lavenderspoke/capacity/learnedlimit.py
+++ b/lavenderspoke/capacity/adaptivelimit.py
@@ -13,7 +13,7 @@
     last_s: float | None = None
 
 
-class LearnedLimit:
+class AdaptiveLimit:
     """A limit learned from first-token latency and the time between pieces."""
 
     def __init__(self, *, slots_max: int, step_max_s: float | None = None):
@@ -33,14 +33,14 @@
         behind it, of whatever tier, though another engine may be free. So no
         more is started until its first token comes.
         """
-        if self._limit.is_slow(self._longest_reading_s()):
+        if self._limit.is_congested(self._longest_reading_s()):
             return min(len(self._watched), self._limit.limit)
         return self._limit.limit
 
     @property
     def straggling(self) -> bool:
         """Whether the engine is a straggler now."""
-        return self._detector.straggling(self._now_s)
+        return self._detector.is_straggling(self._now_s)
 
     @property
     def step_s(self) -> float:
@@ -60,9 +60,9 @@
         running = len(self._watched) + 1
         self._watched[request_id] = _Watched(started_s=now_s, running=running)
         self._reading_s[request_id] = now_s
-        self._detector.started(running, now_s)
+        self._detector.set_running(running, now_s)
 
-    def piece(self, request_id: str, now_s: float) -> None:
+    def piece_received(self, request_id: str, now_s: float) -> None:
         """Note that a part of an answer came; the first is the first token."""
         self._now_s = now_s
         watched = self._watched.get(request_id)
@@ -70,15 +70,15 @@
             return
         self._reading_s.pop(request_id, None)
         if watched.last_s is None:
-            self._limit.first_token(now_s - watched.started_s, watched.running)
+            self._limit.record_first_token(now_s - watched.started_s, watched.running)
         else:
             step_s = now_s - watched.last_s
-            self._limit.step(step_s)
-            self._detector.step(step_s, now_s=now_s)
+            self._limit.record_step(step_s)
+            self._detector.record_step(step_s, now_s=now_s)
         watched.last_s = now_s
 
     def finished(self, request_id: str, now_s: float) -> None:
         """Note that a run has ended, in whatever way."""
         self._watched.pop(request_id, None)
         self._reading_s.pop(request_id, None)
-        self._detector.started(len(self._watched), now_s)
+        self._detector.set_running(len(self._watched), now_s)
--- a/lavenderspoke/capacity/concurrency.py
+++ b/lavenderspoke/capacity/concurrency.py
@@ -9,7 +9,7 @@
 from statistics import median
 
 # Samples of first-token latency that make up one decision.
-WINDOW = 8
+WINDOW_SAMPLES = 8
 # Congested when the median of a window is above this many times the baseline.
 TOLERANCE = 5.0
 # The baseline follows a slower engine up by this part a window.
@@ -41,25 +41,25 @@
         """The number of requests to run at once."""
         return max(1, int(self._limit))
 
-    def room(self, running: int) -> int:
+    def free_slots(self, running: int) -> int:
         """Return how many more may start beside those that run."""
         return max(0, self.limit - running)
 
-    def is_slow(self, latency_s: float) -> bool:
+    def is_congested(self, latency_s: float) -> bool:
         """Return whether a first token that comes no sooner means congestion."""
         return self._baseline_s is not None and latency_s > TOLERANCE * self._baseline_s
 
-    def step(self, step_s: float) -> None:
+    def record_step(self, step_s: float) -> None:
         """Take in the time of one engine step."""
         if self._step_s is None:
             self._step_s = step_s
         self._step_s += (step_s - self._step_s) * STEP_WEIGHT
 
-    def first_token(self, latency_s: float, running: int) -> None:
+    def record_first_token(self, latency_s: float, running: int) -> None:
         """Take in the time from dispatch to first token with `running` at once."""
         self._samples_s.append(latency_s)
         self._reached = self._reached or running >= self.limit
-        if len(self._samples_s) >= WINDOW:
+        if len(self._samples_s) >= WINDOW_SAMPLES:
             self._decide(median(self._samples_s))
             self._samples_s = []
             self._reached = False
@@ -74,7 +74,7 @@
             and self._step_s is not None
             and self._step_s > self._step_max_s
         )
-        if slow_steps or self.is_slow(latency_s):
+        if slow_steps or self.is_congested(latency_s):
             self._limit = max(1.0, self._limit * DECREASE)
         elif self._reached:
             self._limit = min(float(self._slots_max), self._limit + 1.0)
--- a/lavenderspoke/capacity/slots.py
+++ b/lavenderspoke/capacity/limits.py
@@ -18,7 +18,7 @@
     def started(self, request_id: str, now_s: float) -> None:
         """Note that a request was dispatched."""
 
-    def piece(self, request_id: str, now_s: float) -> None:
+    def piece_received(self, request_id: str, now_s: float) -> None:
         """Note that a part of an answer came."""
 
     def finished(self, request_id: str, now_s: float) -> None:
@@ -39,7 +39,7 @@
     def started(self, request_id: str, now_s: float) -> None:
         pass
 
-    def piece(self, request_id: str, now_s: float) -> None:
+    def piece_received(self, request_id: str, now_s: float) -> None:
         pass
 
     def finished(self, request_id: str, now_s: float) -> None:
--- a/lavenderspoke/capacity/straggler.py
+++ b/lavenderspoke/capacity/straggler.py
@@ -36,8 +36,8 @@
 
     >>> detector = StragglerDetector()
     >>> for number in range(100):
-    ...     detector.step(0.004 if number < 50 else 0.02, now_s=number * 0.02)
-    >>> detector.straggling(now_s=2.0)
+    ...     detector.record_step(0.004 if number < 50 else 0.02, now_s=number * 0.02)
+    >>> detector.is_straggling(now_s=2.0)
     True
     """
 
@@ -56,13 +56,13 @@
         """The recent step time, to be announced."""
         return self._recent_s or 0.0
 
-    def started(self, running: int, now_s: float) -> None:
+    def set_running(self, running: int, now_s: float) -> None:
         """Note how many requests run now, after one began or ended."""
         if self._running == 0:
             self._last_s = now_s
         self._running = running
 
-    def step(self, step_s: float, *, now_s: float) -> None:
+    def record_step(self, step_s: float, *, now_s: float) -> None:
         """Take in one measured step time."""
         self._last_s = now_s
         self._steps += 1
@@ -75,12 +75,12 @@
             self._usual_s += (step_s - self._usual_s) * weight
             self._learn_peers(weight, now_s)
 
-    def peer(self, name: str, step_s: float, now_s: float) -> None:
+    def record_peer_step(self, name: str, step_s: float, now_s: float) -> None:
         """Take in another agent's announced step time."""
         if step_s > 0.0:
             self._peers[name] = _PeerStep(step_s=step_s, at_s=now_s)
 
-    def straggling(self, now_s: float) -> bool:
+    def is_straggling(self, now_s: float) -> bool:
         """Return whether the engine is a straggler now."""
         if self._steps < STEPS_MIN:
             return False
@@ -116,7 +116,7 @@
         return median(known) if known else None
 
 
-class PullCaution:
+class StragglerPullPolicy:
     """Keeps a straggler from work that others would answer sooner.
 
     Tiers are served strictly, so a straggler can't be offered just the lower
@@ -128,7 +128,7 @@
     def __init__(self):
         self._since_s: float | None = None
 
-    def allows(
+    def allows_pull(
         self,
         *,
         straggling: bool,
--- a/lavenderspoke/direct/answers.py
+++ b/lavenderspoke/direct/answers.py
@@ -2,9 +2,9 @@
 
 from lavenderspoke.direct.catalog import Route
 from lavenderspoke.direct.desk import Outcome
-from lavenderspoke.direct.rolling import Answer
+from lavenderspoke.direct.rolling import AttemptResult
 from lavenderspoke.direct.tickets import Ticket
-from lavenderspoke.rollouts.typical import Measure
+from lavenderspoke.rollouts.baseline import DurationKind
 
 BAD = (Outcome.FAILED, Outcome.BROKEN, Outcome.SILENT)
 # The upstream didn't run these, so that they say nothing of its version.
@@ -13,7 +13,7 @@
 
 def answer_of(
     ticket: Ticket, route: Route, outcome: Outcome, now_s: float
-) -> Answer | None:
+) -> AttemptResult | None:
     """Return what an attempt says of its upstream's version, if anything.
 
     One that was given up before its first event took at least as long as that: it may
@@ -23,33 +23,38 @@
         return None
     if outcome is Outcome.LEFT:
         waited = _until_first(ticket, now_s) if ticket.began_s is None else {}
-        return Answer(route=route.name, durations_s=waited, is_given_up=True)
-    return Answer(
+        return AttemptResult(route=route.name, durations_s=waited, is_abandoned=True)
+    return AttemptResult(
         route=route.name,
         is_bad=outcome in BAD,
         durations_s=_durations(ticket, route, outcome, now_s),
-        whole_s=now_s - ticket.started_s,
+        total_s=now_s - ticket.started_s,
     )
 
 
 def _durations(
     ticket: Ticket, route: Route, outcome: Outcome, now_s: float
-) -> dict[Measure, float]:
+) -> dict[DurationKind, float]:
     if outcome is not Outcome.ANSWERED:
         return {}
     if not route.stream:
-        return {Measure.WHOLE: now_s - ticket.started_s}
+        return {DurationKind.UNSTREAMED: now_s - ticket.started_s}
     if ticket.began_s is None:
         return {}
     durations = _until_first(ticket, ticket.began_s)
     if ticket.events > 1:
-        durations[Measure.EVENT] = (now_s - ticket.began_s) / (ticket.events - 1)
+        durations[DurationKind.BETWEEN_EVENTS] = (now_s - ticket.began_s) / (
+            ticket.events - 1
+        )
     return durations
 
 
-def _until_first(ticket: Ticket, at_s: float) -> dict[Measure, float]:
+def _until_first(ticket: Ticket, at_s: float) -> dict[DurationKind, float]:
     if ticket.expected_first_steps <= 0.0:
         return {}
     first_s = at_s - ticket.started_s
     step_s = first_s / ticket.expected_first_steps
-    return {Measure.FIRST: first_s, Measure.STEP: step_s}
+    return {
+        DurationKind.FIRST_EVENT: first_s,
+        DurationKind.FIRST_EVENT_PER_STEP: step_s,
+    }
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -20,7 +20,7 @@
 from lavenderspoke.direct.messages import PassedOn, SharedState
 from lavenderspoke.direct.quota import SharedQuota
 from lavenderspoke.direct.refusals import not_run
-from lavenderspoke.direct.rolling import Rollouts, Wish
+from lavenderspoke.direct.rolling import Rollouts, StatusUpdate
 from lavenderspoke.direct.scheduler import RETRY_AFTER_MIN_S, RETURN_PART, Scheduler
 from lavenderspoke.direct.settings import RETRY_PART, Bounds
 from lavenderspoke.direct.sharing import Peers, Returns, Whereabouts
@@ -96,7 +96,7 @@
             peers_running=self._peers.running,
             peers_share=self._peers.share,
             access=self._rollouts.access,
-            canary=self._rollouts.canary,
+            canary=self._rollouts.canary_splitter,
         )
         self._verdicts = Verdicts(
             own_name=name, scheduler=self._scheduler, metrics=metrics
@@ -184,7 +184,7 @@
             line.ended(ticket, upstream.upstream_id, now_s)
             answer = answer_of(ticket, accepted.route, outcome, now_s)
             if answer is not None:
-                self._rollouts.answered(upstream, answer)
+                self._rollouts.record_attempt(upstream, answer)
 
     def give_back(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
@@ -239,7 +239,7 @@
         """
         with self._lock:
             now_s = self._now_s()
-            self._rollouts.listed(upstreams, now_s)
+            self._rollouts.update_upstreams(upstreams, now_s)
             self._scheduler.reconfigure(upstreams, now_s)
             restarted = self._verdicts.listed(upstreams, now_s)
             listed = {each.upstream_id for each in upstreams}
@@ -278,35 +278,35 @@
     def ordered(self, order: Order) -> None:
         """Take over an operator's order to move a service to another version."""
         with self._lock:
-            self._rollouts.ordered(order, self._now_s())
+            self._rollouts.add_order(order, self._now_s())
             self._scheduler.rolled()
 
     def order_withdrawn(self, service: str, number: int) -> None:
         """Stop the roll-out that was ordered before record `number`."""
         with self._lock:
-            self._rollouts.withdrawn(service, number, self._now_s())
+            self._rollouts.withdraw_order(service, number, self._now_s())
             self._scheduler.rolled()
 
     def orders_read(self, sent_s: float) -> None:
         """Note that a read sent then has shown all orders."""
         with self._lock:
             self._orders_read_s = max(self._orders_read_s, sent_s)
-            if self._rollouts.orders_read(sent_s):
+            if self._rollouts.release_held_versions(sent_s):
                 self._scheduler.rolled()
 
     def rollout_stored(self, order: Order, stage: Stage, elapsed_s: float) -> None:
         """Take over what the store says of a roll-out that was ordered so long ago."""
         with self._lock:
-            self._rollouts.stored(order, stage, elapsed_s, self._now_s())
+            self._rollouts.apply_stored_stage(order, stage, elapsed_s, self._now_s())
             self._scheduler.rolled()
 
-    def rollout_wishes(self) -> list[Wish]:
+    def rollout_wishes(self) -> list[StatusUpdate]:
         """Return the roll-outs whose record is for this entry to write."""
         with self._lock:
             if not self._rollouts.is_any_running:
                 return []
             now_s = self._now_s()
-            return self._rollouts.wishes(self._surroundings(now_s), now_s)
+            return self._rollouts.status_updates(self._surroundings(now_s), now_s)
 
     # Peers
 
@@ -351,7 +351,7 @@
             self._roll(now_s)
             lines = self._scheduler.lines().values()
             running = sum(line.pool.peers_running() for line in lines)
-        self._metrics.gauge(PEERS_RUNNING, running)
+        self._metrics.set_gauge(PEERS_RUNNING, running)
 
     def known_peers(self) -> dict[str, Whereabouts]:
         """Return the other entries that may be alive, by name."""
@@ -392,7 +392,7 @@
                 waiting=waiting,
                 held=held,
                 spent=self._spent_news(),
-                rollouts=self._rollouts.news(self._now_s()),
+                rollouts=self._rollouts.outgoing_news(self._now_s()),
                 refused=self._returns.news(),
                 gone=found.gone,
                 unreached=found.unreached,
@@ -410,7 +410,7 @@
         if not self._peers.heard(sender, state, now_s, age_s=age_s):
             return False
         self._returns.heard(state.refused, now_s)
-        self._rollouts.heard(sender, state.rollouts, now_s)
+        self._rollouts.receive_news(sender, state.rollouts, now_s)
         self._verdicts.heard(sender.name, state, now_s)
         self._quota.peer_spent(
             sender.name, sender.incarnation, state.spent, now_s=now_s
@@ -424,7 +424,7 @@
         places = {
             service: line.pool.places()
             for service, line in self._scheduler.lines().items()
-            if self._rollouts.canary(service) is not None
+            if self._rollouts.canary_splitter(service) is not None
         }
         if self._rollouts.tick(places, self._surroundings(now_s), now_s):
             self._scheduler.rolled()
--- a/lavenderspoke/direct/pool.py
+++ b/lavenderspoke/direct/pool.py
@@ -13,7 +13,7 @@
 from lavenderspoke.direct.reading import ReadingPace
 from lavenderspoke.direct.writing import WritingPace
 from lavenderspoke.rollouts.orders import Access
-from lavenderspoke.rollouts.places import Places
+from lavenderspoke.rollouts.versionload import VersionLoad
 
 # Time between two events of a stream, in seconds, at an upstream not yet measured.
 PACE_DEFAULT_S = 0.02
@@ -260,7 +260,7 @@
         usable = (s for s in self._open() if s.health.usable(len(s.own), now_s))
         return sum(max(0, s.room()) for s in usable if not s.health.is_on_trial)
 
-    def places(self) -> Places:
+    def places(self) -> VersionLoad:
         """Return the places by version, in all and taken."""
         slots: Counter[str] = Counter()
         held: Counter[str] = Counter()
@@ -269,7 +269,7 @@
             held[version] += seat.requests()
             if not seat.upstream.leaving and seat.gone_until_s is None:
                 slots[version] += seat.upstream.slots
-        return Places(slots=slots, held=held)
+        return VersionLoad(slots=slots, in_flight=held)
 
     def in_flight(self) -> int:
         """Return how many requests run, this entry's own and its peers'."""
--- a/lavenderspoke/direct/rolling.py
+++ b/lavenderspoke/direct/rolling.py
@@ -15,16 +15,21 @@
 
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.messages import RolloutNews
-from lavenderspoke.direct.rollout import Rollout, counts_of
+from lavenderspoke.direct.rollout import Rollout, tally_counts
 from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
-from lavenderspoke.rollouts.judging import Progress, Step, decide, target_share
+from lavenderspoke.rollouts.baseline import DurationBaseline, DurationKind
+from lavenderspoke.rollouts.canarysplit import CanarySplitter
 from lavenderspoke.rollouts.orders import Access, Order, Stage
-from lavenderspoke.rollouts.places import Places
-from lavenderspoke.rollouts.share import CanaryShare
-from lavenderspoke.rollouts.typical import Measure, Typical
-from lavenderspoke.rollouts.versions import Versions
+from lavenderspoke.rollouts.transitions import (
+    Progress,
+    Transition,
+    next_transition,
+    target_share,
+)
+from lavenderspoke.rollouts.versionload import VersionLoad
+from lavenderspoke.rollouts.versions import ServiceVersions
 
 # How long the other entries wait for the one that is to take a step, or to write the
 # store's record, in seconds.
@@ -45,22 +50,22 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
+class AttemptResult:
     """What became of one attempt, as a roll-out counts it.
 
     `is_bad` is a failed or broken one; whether it was slow follows from the durations.
-    One that `is_given_up` counts only if it was slow.
+    One that `is_abandoned` counts only if it was slow.
     """
 
     route: str
     is_bad: bool = False
-    durations_s: dict[Measure, float] = attrs.field(factory=dict)
-    whole_s: float = 0.0
-    is_given_up: bool = False
+    durations_s: dict[DurationKind, float] = attrs.field(factory=dict)
+    total_s: float = 0.0
+    is_abandoned: bool = False
 
 
 @attrs.frozen(kw_only=True)
-class Wish:
+class StatusUpdate:
     """A roll-out whose record in the store should follow its stage."""
 
     order: Order
@@ -75,8 +80,8 @@
         self._random = random
         self._metrics = metrics
         self._rollouts: dict[str, Rollout] = {}
-        self._versions: dict[str, Versions] = {}
-        self._typical: dict[str, Typical] = {}
+        self._versions: dict[str, ServiceVersions] = {}
+        self._baselines: dict[str, DurationBaseline] = {}
         self._answer_s: dict[str, float] = {}
         self._access: dict[tuple[str, str], Access] = {}
         self._looked_s = float("-inf")
@@ -91,16 +96,16 @@
 
     # The platform
 
-    def listed(self, upstreams: Iterable[Upstream], now_s: float) -> None:
+    def update_upstreams(self, upstreams: Iterable[Upstream], now_s: float) -> None:
         """Take over the versions of the upstreams that are there."""
         by_service: dict[str, list[str]] = {}
         for each in upstreams:
             by_service.setdefault(each.service, []).append(each.version)
         for service, listed in by_service.items():
-            versions = self._versions.setdefault(service, Versions())
-            versions.listed(listed, now_s, target=self._target(service))
+            versions = self._versions.setdefault(service, ServiceVersions())
+            versions.update_listed(listed, now_s, target=self._target(service))
 
-    def orders_read(self, read_s: float) -> bool:
+    def release_held_versions(self, read_s: float) -> bool:
         """Note that all orders up to a read that was sent then are known.
 
         Returns whether that took versions into use.
@@ -108,7 +113,7 @@
         changed = False
         for service, versions in self._versions.items():
             target = self._target(service)
-            for version in versions.orders_read(read_s, target=target):
+            for version in versions.release_held(read_s, target=target):
                 log.info(
                     "version in use without an order", service=service, version=version
                 )
@@ -117,13 +122,13 @@
                 changed = True
         return changed
 
-    def ordered(self, order: Order, now_s: float) -> None:
+    def add_order(self, order: Order, now_s: float) -> None:
         """Take over an operator's order."""
         current = self._rollouts.get(order.service)
         if current is not None and current.order.number >= order.number:
             return
         if current is not None and not current.stage.is_final:
-            self._versions_of(order.service).rolled_back(current.order.target)
+            self._versions_of(order.service).roll_back(current.order.target)
         rollout = Rollout(order=order, now_s=now_s, random=self._random)
         self._rollouts[order.service] = rollout
         early = self._early.pop((order.service, order.number), {})
@@ -131,50 +136,58 @@
         for sender, news in early.items():
             self._take_in(rollout, sender, news, now_s)
 
-    def withdrawn(self, service: str, number: int, now_s: float) -> None:
+    def withdraw_order(self, service: str, number: int, now_s: float) -> None:
         """Stop a roll-out whose order the operator took back."""
         rollout = self._rollouts.get(service)
         if rollout is None or rollout.order.number >= number:
             return
         if rollout.stage < Stage.STOPPED:
-            self._go(rollout, Step(stage=Stage.STOPPED, reason="withdrawn"), now_s)
+            self._go(
+                rollout, Transition(stage=Stage.STOPPED, reason="withdrawn"), now_s
+            )
 
-    def stored(
+    def apply_stored_stage(
         self, order: Order, stage: Stage, elapsed_s: float, now_s: float
     ) -> None:
         """Take over what the store's record says of a roll-out ordered so long ago."""
         rollout = self._rollouts.get(order.service)
         if rollout is None or rollout.order != order:
             return
-        rollout.began_before(elapsed_s, now_s)
+        rollout.backdate(elapsed_s, now_s)
         if stage > rollout.stage or stage.is_final:
             if stage is not rollout.stage:
-                self._go(rollout, Step(stage=stage, reason="the store's record"), now_s)
+                self._go(
+                    rollout, Transition(stage=stage, reason="the store's record"), now_s
+                )
 
-    def wishes(self, surroundings: Surroundings, now_s: float) -> list[Wish]:
+    def status_updates(
+        self, surroundings: Surroundings, now_s: float
+    ) -> list[StatusUpdate]:
         """Return the roll-outs whose record in the store is for this entry to write."""
         return [
-            Wish(order=each.order, stage=each.stage, elapsed_s=each.elapsed_s(now_s))
+            StatusUpdate(
+                order=each.order, stage=each.stage, elapsed_s=each.elapsed_s(now_s)
+            )
             for each in self._rollouts.values()
             if self._wants_record(each)
             and surroundings.knows_orders
-            and (surroundings.is_first or now_s >= each.wished_s + FIRST_LATE_S)
+            and (surroundings.is_first or now_s >= each.update_due_s + FIRST_LATE_S)
         ]
 
     @staticmethod
     def _wants_record(rollout: Rollout) -> bool:
         if rollout.stage in (Stage.ORDERED, Stage.STOPPED):
             return True
-        return rollout.stage is Stage.MOVING and rollout.is_due
+        return rollout.stage is Stage.MOVING and rollout.is_completion_due
 
     # Requests
 
-    def canary(self, service: str) -> CanaryShare | None:
+    def canary_splitter(self, service: str) -> CanarySplitter | None:
         """Return the share of a service's target while a roll-out runs."""
         rollout = self._rollouts.get(service)
         if rollout is None or rollout.stage.is_final:
             return None
-        return rollout.canary
+        return rollout.splitter
 
     def access(self, upstream: Upstream) -> Access:
         """Return which requests an upstream may get."""
@@ -184,24 +197,24 @@
             access = self._access[key] = self._decide_access(*key)
         return access
 
-    def answered(self, upstream: Upstream, answer: Answer) -> None:
+    def record_attempt(self, upstream: Upstream, answer: AttemptResult) -> None:
         """Count what became of an attempt."""
         service = upstream.service
-        typical = self._typical.setdefault(service, Typical())
+        typical = self._baselines.setdefault(service, DurationBaseline())
         by_target = upstream.version == self._target(service)
         is_bad = answer.is_bad or typical.is_slow(answer.route, answer.durations_s)
-        if answer.is_given_up and not is_bad:
+        if answer.is_abandoned and not is_bad:
             return
         if not by_target and not is_bad:
             typical.learn(answer.route, answer.durations_s)
-            self._note_length(service, answer.whole_s)
+            self._note_length(service, answer.total_s)
         if by_target and not upstream.is_warm and not answer.is_bad:
             # Slow while it warms up, it says nothing of the version.
             return
         rollout = self._rollouts.get(service)
         if rollout is None or rollout.stage.is_final:
             return
-        rollout.answered(answer.route, by_target=by_target, is_bad=is_bad)
+        rollout.record_answer(answer.route, by_target=by_target, is_bad=is_bad)
         if by_target:
             self._metrics.count(ANSWERS, "bad" if is_bad else "good")
 
@@ -212,11 +225,11 @@
 
     # The other entries
 
-    def news(self, now_s: float) -> tuple[RolloutNews, ...]:
+    def outgoing_news(self, now_s: float) -> tuple[RolloutNews, ...]:
         """Return what the others are told."""
-        return tuple(each.news(now_s) for each in self._rollouts.values())
+        return tuple(each.outgoing_news(now_s) for each in self._rollouts.values())
 
-    def heard(
+    def receive_news(
         self, sender: InstanceId, told: Iterable[RolloutNews], now_s: float
     ) -> None:
         """Take in what another entry tells."""
@@ -235,19 +248,22 @@
     def _take_in(
         self, rollout: Rollout, sender: InstanceId, news: RolloutNews, now_s: float
     ) -> None:
-        rollout.heard(sender, news, now_s)
+        rollout.receive_news(sender, news, now_s)
         if news.stage not in iter(Stage):
             log.warning("unknown stage", peer=sender.name, stage=news.stage)
             return
         stage = Stage(news.stage)
         if stage > rollout.stage and not rollout.stage.is_final:
             reason = f"told by {sender.name}"
-            self._go(rollout, Step(stage=stage, reason=reason), now_s)
+            self._go(rollout, Transition(stage=stage, reason=reason), now_s)
 
     # Decisions
 
     def tick(
-        self, places: Mapping[str, Places], surroundings: Surroundings, now_s: float
+        self,
+        places: Mapping[str, VersionLoad],
+        surroundings: Surroundings,
+        now_s: float,
     ) -> bool:
         """Go on where it is time; return whether access may have changed."""
         changed = surroundings.in_touch != self._in_touch
@@ -265,53 +281,53 @@
     def _look(
         self,
         rollout: Rollout,
-        places: Mapping[str, Places],
+        places: Mapping[str, VersionLoad],
         surroundings: Surroundings,
         now_s: float,
     ) -> None:
         service = rollout.order.service
         progress = rollout.progress(
-            places=places.get(service, Places()),
+            places=places.get(service, VersionLoad()),
             answer_s=self._answer_s.get(service, 0.0),
             surroundings=surroundings,
             now_s=now_s,
         )
-        step = decide(progress)
+        step = next_transition(progress)
         is_end = step is not None and step.stage is Stage.COMPLETED
-        rollout.due(is_end, now_s)
+        rollout.set_completion_due(is_end, now_s)
         if step is not None and not is_end:
             if self._may_step(rollout, step, surroundings, now_s):
                 self._go(rollout, step, now_s, progress)
-        rollout.canary.share = target_share(progress) if self._in_touch else 0.0
-        rollout.canary.seen = {
+        rollout.splitter.share = target_share(progress) if self._in_touch else 0.0
+        rollout.splitter.target_answers = {
             route: tally.target.answers for route, tally in rollout.evidence().items()
         }
 
     @staticmethod
     def _may_step(
-        rollout: Rollout, step: Step, surroundings: Surroundings, now_s: float
+        rollout: Rollout, step: Transition, surroundings: Surroundings, now_s: float
     ) -> bool:
         if step.stage is Stage.STOPPED or surroundings.is_first:
             return True
-        wanted_s = rollout.wanted_for_s(step.stage, now_s)
+        wanted_s = rollout.transition_wanted_for_s(step.stage, now_s)
         return surroundings.in_touch and wanted_s >= FIRST_LATE_S
 
     def _go(
         self,
         rollout: Rollout,
-        step: Step,
+        step: Transition,
         now_s: float,
         progress: Progress | None = None,
     ) -> None:
         before = rollout.stage
-        rollout.go(step.stage, now_s)
+        rollout.enter_stage(step.stage, now_s)
         order = rollout.order
         versions = self._versions_of(order.service)
         if step.stage is Stage.COMPLETED:
-            versions.completed(order.target)
+            versions.complete(order.target)
         elif step.stage in (Stage.STOPPED, Stage.ROLLED_BACK):
-            rollout.canary.share = 0.0
-            versions.rolled_back(order.target)
+            rollout.splitter.share = 0.0
+            versions.roll_back(order.target)
         self._access.clear()
         self._metrics.count(STAGES, step.stage.name.lower())
         judgement = progress.judgement if progress is not None else None
@@ -328,7 +344,7 @@
             to_target=progress.to_target if progress is not None else None,
             log_odds=round(judgement.log_odds, 2) if judgement is not None else None,
             evidence={
-                route: counts_of(tally)
+                route: tally_counts(tally)
                 for route, tally in sorted(rollout.evidence().items())
             },
         )
@@ -337,18 +353,18 @@
         rollout = self._rollouts.get(service)
         versions = self._versions_of(service)
         if rollout is None or rollout.stage.is_final:
-            return Access.OPEN if versions.in_use(version) else Access.CLOSED
+            return Access.OPEN if versions.is_in_use(version) else Access.CLOSED
         if version == rollout.order.target:
             return self._target_access(rollout)
         if rollout.stage is Stage.MOVING and self._in_touch:
             return Access.CLOSED
-        return Access.OPEN if versions.in_use(version) else Access.CLOSED
+        return Access.OPEN if versions.is_in_use(version) else Access.CLOSED
 
     def _target_access(self, rollout: Rollout) -> Access:
         order, stage = rollout.order, rollout.stage
         if stage >= Stage.STOPPED:
             return Access.CLOSED
-        if self._versions_of(order.service).is_only(order.target):
+        if self._versions_of(order.service).is_only_listed(order.target):
             # Nothing is to be moved, and nobody else could serve.
             return Access.OPEN
         if stage is Stage.MOVING and self._in_touch:
@@ -363,5 +379,5 @@
             return None
         return rollout.order.target
 
-    def _versions_of(self, service: str) -> Versions:
-        return self._versions.setdefault(service, Versions())
+    def _versions_of(self, service: str) -> ServiceVersions:
+        return self._versions.setdefault(service, ServiceVersions())
--- a/lavenderspoke/direct/rollout.py
+++ b/lavenderspoke/direct/rollout.py
@@ -5,11 +5,11 @@
 from lavenderspoke.direct.messages import RolloutNews
 from lavenderspoke.direct.surroundings import Surroundings
 from lavenderspoke.model import InstanceId
-from lavenderspoke.rollouts.evidence import RouteTally, Tally, judge
-from lavenderspoke.rollouts.judging import Progress
+from lavenderspoke.rollouts.canarysplit import CanarySplitter
+from lavenderspoke.rollouts.evidence import RouteTally, Tally, judge_canary
 from lavenderspoke.rollouts.orders import Order, Stage
-from lavenderspoke.rollouts.places import Places
-from lavenderspoke.rollouts.share import CanaryShare
+from lavenderspoke.rollouts.transitions import Progress
+from lavenderspoke.rollouts.versionload import VersionLoad
 
 # Elapsed times that are told are rounded to this, in seconds, so that they are no news
 # by themselves.
@@ -24,9 +24,9 @@
     def __init__(self, *, order: Order, now_s: float, random: Random):
         self.order = order
         self.stage = Stage.ORDERED
-        self.canary = CanaryShare(random=random)
-        self.wished_s = now_s
-        self.is_due = False
+        self.splitter = CanarySplitter(random=random)
+        self.update_due_s = now_s
+        self.is_completion_due = False
         # Since when a step has been wanted that another entry should take.
         self._wanted: tuple[Stage, float] | None = None
         self._began_s = now_s
@@ -45,45 +45,45 @@
         """Return how long ago this stage began here."""
         return now_s - self._stage_s
 
-    def began_before(self, elapsed_s: float, now_s: float) -> None:
+    def backdate(self, elapsed_s: float, now_s: float) -> None:
         """Note that the order was there so long ago."""
         self._began_s = min(self._began_s, now_s - max(0.0, elapsed_s))
 
-    def go(self, stage: Stage, now_s: float) -> None:
+    def enter_stage(self, stage: Stage, now_s: float) -> None:
         """Go on to a stage."""
         self.stage = stage
-        self._stage_s = self.wished_s = now_s
-        self.is_due = False
+        self._stage_s = self.update_due_s = now_s
+        self.is_completion_due = False
         self._wanted = None
         if stage.is_final:
             # The others are told the end alone from now on.
             self._own.clear()
             self._peers.clear()
 
-    def wanted_for_s(self, stage: Stage, now_s: float) -> float:
+    def transition_wanted_for_s(self, stage: Stage, now_s: float) -> float:
         """Return for how long this step has been wanted."""
         if self._wanted is None or self._wanted[0] is not stage:
             self._wanted = (stage, now_s)
         return now_s - self._wanted[1]
 
-    def due(self, is_due: bool, now_s: float) -> None:
+    def set_completion_due(self, is_due: bool, now_s: float) -> None:
         """Note whether the store's record should say that it is completed."""
-        if is_due and not self.is_due:
-            self.wished_s = now_s
-        self.is_due = is_due
+        if is_due and not self.is_completion_due:
+            self.update_due_s = now_s
+        self.is_completion_due = is_due
 
-    def answered(self, route: str, *, by_target: bool, is_bad: bool) -> None:
+    def record_answer(self, route: str, *, by_target: bool, is_bad: bool) -> None:
         """Count an answer of this entry's."""
         tally = Tally(answers=1, bad=int(is_bad))
         added = RouteTally(target=tally) if by_target else RouteTally(others=tally)
         self._own[route] = self._own.get(route, RouteTally()) + added
 
-    def heard(self, sender: InstanceId, news: RolloutNews, now_s: float) -> None:
+    def receive_news(self, sender: InstanceId, news: RolloutNews, now_s: float) -> None:
         """Take in what another entry tells. Its counts replace those told before."""
         self._peers[sender] = news
-        self.began_before(news.elapsed_s, now_s)
+        self.backdate(news.elapsed_s, now_s)
 
-    def news(self, now_s: float) -> RolloutNews:
+    def outgoing_news(self, now_s: float) -> RolloutNews:
         """Return what the others are told."""
         elapsed_s = self.elapsed_s(now_s)
         return RolloutNews(
@@ -91,10 +91,11 @@
             number=self.order.number,
             stage=int(self.stage),
             elapsed_s=elapsed_s - elapsed_s % ELAPSED_STEP_S,
-            requests=self.canary.requests,
-            to_target=self.canary.to_target,
+            requests=self.splitter.requests,
+            to_target=self.splitter.to_target,
             routes=tuple(
-                (route, *counts_of(tally)) for route, tally in sorted(self._own.items())
+                (route, *tally_counts(tally))
+                for route, tally in sorted(self._own.items())
             ),
         )
 
@@ -109,27 +110,27 @@
     def progress(
         self,
         *,
-        places: Places,
+        places: VersionLoad,
         answer_s: float,
         surroundings: Surroundings,
         now_s: float,
     ) -> Progress:
         """Return what is known over all entries."""
         peers = self._peers.values()
-        requests = self.canary.requests + sum(each.requests for each in peers)
+        requests = self.splitter.requests + sum(each.requests for each in peers)
         target = self.order.target
         return Progress(
             stage=self.stage,
             elapsed_s=self.elapsed_s(now_s),
-            stage_s=self.stage_age_s(now_s),
+            stage_age_s=self.stage_age_s(now_s),
             duration_s=self.order.duration_s,
-            judgement=judge(self.evidence()),
+            judgement=judge_canary(self.evidence()),
             requests=requests,
-            to_target=self.canary.to_target + sum(each.to_target for each in peers),
+            to_target=self.splitter.to_target + sum(each.to_target for each in peers),
             requests_per_s=self._rate(requests, now_s),
-            answer_s=answer_s,
-            held=places.other_held(target),
-            all_heard=surroundings.all_heard,
+            longest_answer_s=answer_s,
+            other_in_flight=places.other_in_flight(target),
+            all_peers_heard=surroundings.all_heard,
             target_slots=places.target_slots(target),
             other_slots=places.other_slots(target),
             bounds=surroundings.bounds,
@@ -145,7 +146,7 @@
         return max(0.0, self._requests_per_s)
 
 
-def counts_of(tally: RouteTally) -> tuple[int, int, int, int]:
+def tally_counts(tally: RouteTally) -> tuple[int, int, int, int]:
     """Return answers and bad ones of the target, and of the other versions."""
     target, others = tally.target, tally.others
     return target.answers, target.bad, others.answers, others.bad
--- a/lavenderspoke/direct/scheduler.py
+++ b/lavenderspoke/direct/scheduler.py
@@ -48,8 +48,8 @@
     Refuse,
     Ticket,
 )
+from lavenderspoke.rollouts.canarysplit import CanarySplitter
 from lavenderspoke.rollouts.orders import Access
-from lavenderspoke.rollouts.share import CanaryShare
 
 # The part of all places that stays free for the ranks above, for each rank that
 # is above, towards requests that hold a place for `LONG_S` and longer. Answers of
@@ -118,7 +118,7 @@
     def __init__(self, *, pool: Pool, random: Random):
         self.pool = pool
         self.peers = PeersShare()
-        self.canary: CanaryShare | None = None
+        self.canary: CanarySplitter | None = None
         self._random = random
         self._waiting: SortedKeyList = SortedKeyList(key=_turn)
         self._ranks: Counter[Rank] = Counter()
@@ -168,7 +168,7 @@
         """Send a request to a roll-out's target if it should and can go there now."""
         if self.canary is None or not ticket.may_wait or ticket.excluded:
             return False
-        if not self.canary.wants(ticket.route):
+        if not self.canary.should_use_target(ticket.route):
             return False
         seat = self.pool.choose_canary(
             _demand(ticket, now_s), now_s=now_s, rivals=self._rivals(now_s)
@@ -349,7 +349,7 @@
     def _send(self, ticket: Ticket, seat: Seat, now_s: float) -> None:
         if self.canary is not None:
             is_canary = seat.access is Access.CANARY
-            self.canary.sent(ticket.route, to_target=is_canary)
+            self.canary.record_sent(ticket.route, to_target=is_canary)
         if ticket.may_wait:
             self._lengths[ticket.rank].served(ticket.answer_tokens)
         ticket.started_s = now_s
@@ -458,7 +458,7 @@
         peers_running: Callable[[], Mapping[str, Running]] = dict,
         peers_share: Callable[[str], PeersShare] = lambda service: PeersShare(),
         access: Callable[[Upstream], Access] = lambda upstream: Access.OPEN,
-        canary: Callable[[str], CanaryShare | None] = lambda service: None,
+        canary: Callable[[str], CanarySplitter | None] = lambda service: None,
     ):
         self._random = random
         self._peers_running = peers_running
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -3,7 +3,7 @@
 import attrs
 
 from lavenderspoke.direct.quota import Tolerance
-from lavenderspoke.rollouts.judging import Bounds as RolloutBounds
+from lavenderspoke.rollouts.transitions import Bounds as RolloutBounds
 
 # The part of the platform's retry budget that entries use: the platform counts
 # over a sliding window, in which a full balance and what is added meanwhile can
--- a/lavenderspoke/direct/surroundings.py
+++ b/lavenderspoke/direct/surroundings.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from lavenderspoke.rollouts.judging import Bounds
+from lavenderspoke.rollouts.transitions import Bounds
 
 # An entry whose read of the orders is older than this, in seconds, sends a target
 # nothing: the roll-out may have been withdrawn.
--- a/lavenderspoke/observing/explaining.py
+++ b/lavenderspoke/observing/explaining.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Line:
+class LogLine:
     """A log line; `at_s` is seconds since 1970 by the clock of its machine."""
 
     daemon: str
@@ -51,23 +51,23 @@
 
 
 @attrs.frozen(kw_only=True)
-class Story:
+class Explanation:
     """A request's own line, what it means, and the lines that may explain it."""
 
-    line: Line
+    line: LogLine
     meaning: str
-    around: tuple[Line, ...]
+    around: tuple[LogLine, ...]
 
 
 @attrs.frozen(kw_only=True)
-class Lines:
+class ParsedLogs:
     """What was read; `skipped` counts lines that hold no log record."""
 
-    lines: tuple[Line, ...]
+    lines: tuple[LogLine, ...]
     skipped: int
 
 
-def parse(texts: Iterable[str]) -> Lines:
+def parse_logs(texts: Iterable[str]) -> ParsedLogs:
     """Read the lines of any number of files.
 
     What stands before the record's first brace is left out: tools that gather logs
@@ -81,17 +81,17 @@
         else:
             lines.append(line)
     lines.sort(key=lambda line: line.at_s)
-    return Lines(lines=tuple(lines), skipped=skipped)
+    return ParsedLogs(lines=tuple(lines), skipped=skipped)
 
 
-def _line(text: str) -> Line | None:
+def _line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
     try:
         fields = json.loads(text[start:])
         at = datetime.datetime.fromisoformat(fields["time"])
-        return Line(
+        return LogLine(
             daemon=str(fields["daemon"]),
             message=str(fields["message"]),
             at_s=at.timestamp(),
@@ -101,7 +101,7 @@
         return None
 
 
-def stories(lines: Lines, request_id: str) -> list[Story]:
+def explain_request(lines: ParsedLogs, request_id: str) -> list[Explanation]:
     """Return the story of each line that this request has, in order of time.
 
     There is one for each entry that was asked; more than one for a caller that
@@ -114,7 +114,7 @@
     ]
 
 
-def _story(line: Line, lines: Lines) -> Story:
+def _story(line: LogLine, lines: ParsedLogs) -> Explanation:
     arrived_s = line.at_s - (line.fields.get("whole_s") or 0.0)
     around = [
         each
@@ -125,4 +125,4 @@
     ]
     outcome = str(line.fields.get("outcome"))
     meaning = MEANINGS.get(outcome, f"It ended as {outcome}.")
-    return Story(line=line, meaning=meaning, around=tuple(around))
+    return Explanation(line=line, meaning=meaning, around=tuple(around))
--- a/lavenderspoke/observing/metrics.py
+++ b/lavenderspoke/observing/metrics.py
@@ -10,7 +10,7 @@
 HISTOGRAMS_MAX = 256
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 US_PER_S = 1_000_000
-OTHER = "other"
+OTHER_LABEL = "other"
 """The label that stands for all beyond the bound on histograms or counters."""
 COUNTERS_MAX = 1024
 
@@ -58,7 +58,7 @@
 
     >>> metrics = Metrics()
     >>> metrics.count("refusals", "shed")
-    >>> metrics.counter("refusals", "shed")
+    >>> metrics.counter_value("refusals", "shed")
     1
     """
 
@@ -73,15 +73,15 @@
         with self._lock:
             key = (name, reason)
             if key not in self._counters and len(self._counters) >= COUNTERS_MAX:
-                key = (name, OTHER)
+                key = (name, OTHER_LABEL)
             self._counters[key] = self._counters.get(key, 0) + amount
 
-    def counter(self, name: str, reason: str) -> int:
+    def counter_value(self, name: str, reason: str) -> int:
         """Return what has been counted under that name and reason."""
         with self._lock:
             return self._counters.get((name, reason), 0)
 
-    def gauge(self, name: str, value: float) -> None:
+    def set_gauge(self, name: str, value: float) -> None:
         """Set a value that may also fall, such as the requests in flight."""
         with self._lock:
             self._gauges[name] = value
@@ -92,7 +92,7 @@
         key = LatencyKey(name=name, service=service, tier=tier)
         with self._lock:
             if key not in self._latencies and len(self._latencies) >= HISTOGRAMS_MAX:
-                key = LatencyKey(name=name, service=OTHER, tier=OTHER)
+                key = LatencyKey(name=name, service=OTHER_LABEL, tier=OTHER_LABEL)
             latency = self._latencies.setdefault(key, _Latency())
             latency.histogram.record_value(value_us)
             latency.sum_s += latency_s
--- a/lavenderspoke/observing/rollouts.py
+++ b/lavenderspoke/observing/rollouts.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from lavenderspoke.observing.explaining import Line, Lines
+from lavenderspoke.observing.explaining import LogLine, ParsedLogs
 
 ORDERED = "roll-out ordered"
 GOES_ON = "roll-out goes on"
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Change:
+class StageChange:
     """One change of a roll-out's stage, as the first entry that logged it saw it."""
 
     at_s: float
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Course:
+class RolloutHistory:
     """One order and the changes that followed, in the order of their times.
 
     `state` is the last that was written for operators; empty if none was.
@@ -45,12 +45,12 @@
     target: str
     order: int
     state: str
-    changes: tuple[Change, ...]
+    changes: tuple[StageChange, ...]
 
 
-def courses(lines: Lines) -> list[Course]:
+def rollout_histories(lines: ParsedLogs) -> list[RolloutHistory]:
     """Return the course of each order that the lines tell of."""
-    by_order: dict[tuple[str, int], list[Line]] = {}
+    by_order: dict[tuple[str, int], list[LogLine]] = {}
     for line in lines.lines:
         if line.message in MESSAGES:
             number = line.fields.get("order", line.fields.get("number"))
@@ -63,10 +63,10 @@
     ]
 
 
-def _course(service: str, order: int, told: list[Line]) -> Course:
+def _course(service: str, order: int, told: list[LogLine]) -> RolloutHistory:
     states = [each for each in told if each.message == RECORD_WRITTEN]
     targets = [each.fields["target"] for each in told if "target" in each.fields]
-    changes: dict[str, Change] = {}
+    changes: dict[str, StageChange] = {}
     for line in told:
         if line.message == GOES_ON:
             # The entry that took the step says why; the others were told.
@@ -74,7 +74,7 @@
             known = changes.get(change.stage)
             if known is None or (known.requests is None and change.requests):
                 changes[change.stage] = change
-    return Course(
+    return RolloutHistory(
         service=service,
         target=targets[0] if targets else "",
         order=order,
@@ -83,10 +83,10 @@
     )
 
 
-def _change(line: Line) -> Change:
+def _change(line: LogLine) -> StageChange:
     evidence = line.fields.get("evidence")
     rows = evidence.items() if isinstance(evidence, dict) else ()
-    return Change(
+    return StageChange(
         at_s=line.at_s,
         daemon=line.daemon,
         stage=str(line.fields.get("stage")),
--- a/lavenderspoke/platform/rollouts.py
+++ b/lavenderspoke/platform/rollouts.py
@@ -17,7 +17,7 @@
 
 from lavenderspoke.clock import Clock
 from lavenderspoke.direct.records import KeyedRecord, Records, StoreError
-from lavenderspoke.direct.rolling import Wish
+from lavenderspoke.direct.rolling import StatusUpdate
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.periodic import Periodic
 from lavenderspoke.platform.decoding import parse_as
@@ -182,7 +182,7 @@
         store: Store,
         clock: Clock,
         metrics: Metrics,
-        wishes: Callable[[], list[Wish]],
+        wishes: Callable[[], list[StatusUpdate]],
         stored: Callable[[Order, Stage, float], None],
     ):
         self._store = store
@@ -197,7 +197,7 @@
         for wish in self._wishes():
             self._carry_out(wish)
 
-    def _carry_out(self, wish: Wish) -> None:
+    def _carry_out(self, wish: StatusUpdate) -> None:
         read = self._store.newest(STATUS_TOPIC)
         if isinstance(read, Err):
             self._failed("read", read.err_value)
@@ -211,7 +211,7 @@
                 return
         self._write(wish, known, read.ok_value.next_offset)
 
-    def _write(self, wish: Wish, known: Status | None, end_offset: int) -> None:
+    def _write(self, wish: StatusUpdate, known: Status | None, end_offset: int) -> None:
         order = wish.order
         now_s = self._clock.now().timestamp()
         status = Status(
--- a/lavenderspoke/platform/settings.py
+++ b/lavenderspoke/platform/settings.py
@@ -6,7 +6,7 @@
 from lavenderspoke.direct.quota import Tolerance
 from lavenderspoke.direct.settings import Address, Bounds, DirectSettings
 from lavenderspoke.platform.settingslines import CALLERS_ADDRESS, lines_of
-from lavenderspoke.rollouts.judging import Bounds as RolloutBounds
+from lavenderspoke.rollouts.transitions import Bounds as RolloutBounds
 
 MS_PER_S = 1000.0
 
--- a/lavenderspoke/rollouts/typical.py
+++ b/lavenderspoke/rollouts/baseline.py
@@ -15,13 +15,13 @@
 MEANS_MAX = 4096
 
 
-class Measure(enum.Enum):
+class DurationKind(enum.Enum):
     """What of an answer takes time, in seconds."""
 
-    FIRST = "first"  # to the first event
-    STEP = "step"  # the same for each step of the upstream until then
-    EVENT = "event"  # between two events
-    WHOLE = "whole"  # of an answer in one piece
+    FIRST_EVENT = "first"  # to the first event
+    FIRST_EVENT_PER_STEP = "step"  # the same for each step of the upstream until then
+    BETWEEN_EVENTS = "event"  # between two events
+    UNSTREAMED = "whole"  # of an answer in one piece
 
 
 @attrs.define(kw_only=True)
@@ -35,22 +35,22 @@
         self.value_s += (value_s - self.value_s) * weight
 
 
-class Typical:
+class DurationBaseline:
     """The usual durations by route, learned from the versions in use.
 
-    >>> typical = Typical()
+    >>> baseline = DurationBaseline()
     >>> for _ in range(5):
-    ...     typical.learn("r", {Measure.WHOLE: 0.1})
-    >>> typical.is_slow("r", {Measure.WHOLE: 0.2})
+    ...     baseline.learn("r", {DurationKind.UNSTREAMED: 0.1})
+    >>> baseline.is_slow("r", {DurationKind.UNSTREAMED: 0.2})
     False
-    >>> typical.is_slow("r", {Measure.WHOLE: 0.4})
+    >>> baseline.is_slow("r", {DurationKind.UNSTREAMED: 0.4})
     True
     """
 
     def __init__(self):
-        self._means: dict[tuple[str, Measure], _Mean] = {}
+        self._means: dict[tuple[str, DurationKind], _Mean] = {}
 
-    def learn(self, route: str, durations_s: dict[Measure, float]) -> None:
+    def learn(self, route: str, durations_s: dict[DurationKind, float]) -> None:
         """Take in an answer of a version in use."""
         for measure, value_s in durations_s.items():
             key = (route, measure)
@@ -58,7 +58,7 @@
                 del self._means[next(iter(self._means))]
             self._means.setdefault(key, _Mean()).add(value_s)
 
-    def is_slow(self, route: str, durations_s: dict[Measure, float]) -> bool:
+    def is_slow(self, route: str, durations_s: dict[DurationKind, float]) -> bool:
         """Return whether an answer took several times as long as usual.
 
         A first event is late only if that is so by itself and for the steps until then:
@@ -69,10 +69,15 @@
             for measure, value_s in durations_s.items()
             if self._exceeds(route, measure, value_s)
         }
-        is_first_late = {Measure.FIRST, Measure.STEP} <= slow
-        return is_first_late or bool(slow & {Measure.EVENT, Measure.WHOLE})
-
-    def _exceeds(self, route: str, measure: Measure, value_s: float) -> bool:
+        is_first_late = {
+            DurationKind.FIRST_EVENT,
+            DurationKind.FIRST_EVENT_PER_STEP,
+        } <= slow
+        return is_first_late or bool(
+            slow & {DurationKind.BETWEEN_EVENTS, DurationKind.UNSTREAMED}
+        )
+
+    def _exceeds(self, route: str, measure: DurationKind, value_s: float) -> bool:
         mean = self._means.get((route, measure))
         if mean is None or mean.count < KNOWN_MIN:
             return False
--- a/lavenderspoke/rollouts/share.py
+++ b/lavenderspoke/rollouts/canarysplit.py
@@ -19,15 +19,15 @@
 AHEAD_MIN = 2.0
 
 
-class CanaryShare:
+class CanarySplitter:
     """Counts one entry's requests to a service while a roll-out runs there.
 
     `share` of them may go to the target, from 0 to 1.
 
-    >>> canary = CanaryShare(random=Random(1))
+    >>> canary = CanarySplitter(random=Random(1))
     >>> canary.share = 0.25
-    >>> sent = [canary.wants("r") for _ in range(400) if not canary.sent(
-    ...     "r", to_target=canary.wants("r"))]
+    >>> sent = [canary.should_use_target("r") for _ in range(400)
+    ...     if not canary.record_sent("r", to_target=canary.should_use_target("r"))]
     >>> 99 <= canary.to_target <= 101
     True
     """
@@ -37,18 +37,18 @@
         self.requests = 0
         self.to_target = 0
         # Answers of the target by route, at all entries.
-        self.seen: Mapping[str, int] = {}
+        self.target_answers: Mapping[str, int] = {}
         self._own: Counter[str] = Counter()
         # Drawn, so that what entries round up and down evens out over many of them.
         self._credit = random.random()
 
-    def wants(self, route: str) -> bool:
+    def should_use_target(self, route: str) -> bool:
         """Return whether the next request of a route should go to the target."""
         if self.share <= 0.0 or self._credit < 1.0:
             return False
         return self._credit >= CREDIT_MAX or self._is_behind(route)
 
-    def sent(self, route: str, *, to_target: bool) -> None:
+    def record_sent(self, route: str, *, to_target: bool) -> None:
         """Count a request that was sent to an upstream of the service."""
         self.requests += 1
         self._credit = min(CREDIT_MAX, self._credit + self.share)
@@ -58,8 +58,10 @@
             self._credit -= 1.0
 
     def _is_behind(self, route: str) -> bool:
-        seen = {name: self._seen(name) for name in {*self.seen, *self._own, route}}
+        seen = {
+            name: self._seen(name) for name in {*self.target_answers, *self._own, route}
+        }
         return seen[route] <= min(seen.values()) * AHEAD_TIMES + AHEAD_MIN
 
     def _seen(self, route: str) -> int:
-        return max(self.seen.get(route, 0), self._own[route])
+        return max(self.target_answers.get(route, 0), self._own[route])
--- a/lavenderspoke/rollouts/evidence.py
+++ b/lavenderspoke/rollouts/evidence.py
@@ -83,7 +83,7 @@
         )
 
 
-class Verdict(enum.Enum):
+class CanaryVerdict(enum.Enum):
     """What the evidence says of the target."""
 
     UNSURE = "unsure"
@@ -93,30 +93,32 @@
 
 
 @attrs.frozen(kw_only=True)
-class Judgement:
+class CanaryJudgement:
     """A verdict, the route that decided it (none: all of them), and its log odds."""
 
-    verdict: Verdict
+    verdict: CanaryVerdict
     route: str = ""
     log_odds: float = 0.0
 
 
-def judge(routes: Mapping[str, RouteTally]) -> Judgement:
+def judge_canary(routes: Mapping[str, RouteTally]) -> CanaryJudgement:
     """Return what was seen on all routes says of the target."""
     total = sum(routes.values(), start=RouteTally())
     odds = {name: tally.log_odds() for name, tally in routes.items()}
     worst = max(odds, key=odds.get, default="")
     if worst and odds[worst] >= BAD_LOG_ODDS:
-        return Judgement(verdict=Verdict.BAD, route=worst, log_odds=odds[worst])
+        return CanaryJudgement(
+            verdict=CanaryVerdict.BAD, route=worst, log_odds=odds[worst]
+        )
     pooled = total.log_odds()
     if pooled >= BAD_LOG_ODDS:
-        return Judgement(verdict=Verdict.BAD, log_odds=pooled)
+        return CanaryJudgement(verdict=CanaryVerdict.BAD, log_odds=pooled)
     if pooled > SOUND_LOG_ODDS:
-        return Judgement(verdict=Verdict.UNSURE, log_odds=pooled)
+        return CanaryJudgement(verdict=CanaryVerdict.UNSURE, log_odds=pooled)
     used = [n for n, t in routes.items() if t.others.answers >= ROUTE_ANSWERS_MIN]
     least = max(used, key=odds.get, default="")
     if not used or odds[least] <= ROUTE_SOUND_LOG_ODDS:
-        return Judgement(verdict=Verdict.SOUND, log_odds=pooled)
+        return CanaryJudgement(verdict=CanaryVerdict.SOUND, log_odds=pooled)
     is_likely = odds[least] <= ROUTE_HASTY_LOG_ODDS
-    verdict = Verdict.LIKELY_SOUND if is_likely else Verdict.UNSURE
-    return Judgement(verdict=verdict, route=least, log_odds=odds[least])
+    verdict = CanaryVerdict.LIKELY_SOUND if is_likely else CanaryVerdict.UNSURE
+    return CanaryJudgement(verdict=verdict, route=least, log_odds=odds[least])
--- a/lavenderspoke/rollouts/judging.py
+++ b/lavenderspoke/rollouts/transitions.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from lavenderspoke.rollouts.evidence import Judgement, Verdict
+from lavenderspoke.rollouts.evidence import CanaryJudgement, CanaryVerdict
 from lavenderspoke.rollouts.orders import Stage
 
 # The part of the operators' bound on a bad version's share that a canary gets; the rest
@@ -46,80 +46,85 @@
 
 @attrs.frozen(kw_only=True)
 class Progress:
-    """What is known of a roll-out over all entries.
-
-    `elapsed_s` and `stage_s` are the times since the order and since the stage began.
-    `requests` reached the service since the order, `to_target` of them the target, now
-    `requests_per_s`. `answer_s` is how long the longest answers take. `held` places are
-    taken at other versions than the target; unless `all_heard`, entries that are silent
-    may hold more. `target_slots` and `other_slots` are there.
+    """The state of a roll-out, added up over all entries.
+
+    `elapsed_s` and `stage_age_s` are the times since the order and since the stage
+    began. `requests` were sent to the service since the order, `to_target` of them to
+    the target; `requests_per_s` is the current rate. `longest_answer_s` is how long the
+    longest answers take. `other_in_flight` requests run on other versions than the
+    target; unless `all_peers_heard`, silent entries may have more in flight there.
+    `target_slots` and `other_slots` are the slots of the target and of the others.
     """
 
     stage: Stage
     elapsed_s: float
-    stage_s: float
+    stage_age_s: float
     duration_s: float
-    judgement: Judgement
+    judgement: CanaryJudgement
     requests: int
     to_target: int
     requests_per_s: float
-    answer_s: float
-    held: int
-    all_heard: bool
+    longest_answer_s: float
+    other_in_flight: int
+    all_peers_heard: bool
     target_slots: int
     other_slots: int
     bounds: Bounds
 
 
 @attrs.frozen(kw_only=True)
-class Step:
+class Transition:
     """The stage that a roll-out goes to, and why."""
 
     stage: Stage
     reason: str
 
 
-def decide(progress: Progress) -> Step | None:
+def next_transition(progress: Progress) -> Transition | None:
     """Return the next step, or None while the roll-out stays where it is."""
     stage = progress.stage
     if stage >= Stage.STOPPED or stage is Stage.ORDERED:
         return None
-    if progress.judgement.verdict is Verdict.BAD:
+    if progress.judgement.verdict is CanaryVerdict.BAD:
         route = progress.judgement.route or "all routes"
-        return Step(stage=Stage.STOPPED, reason=f"bad answers on {route}")
+        return Transition(stage=Stage.STOPPED, reason=f"bad answers on {route}")
     if stage is Stage.CANARY:
         return _after_canary(progress)
-    if stage is Stage.LOADED and progress.stage_s >= LOADED_S:
-        return Step(stage=Stage.MOVING, reason="sound under load")
-    if stage is Stage.MOVING and progress.held == 0 and progress.all_heard:
-        if progress.stage_s >= SETTLE_S / 2:
-            return Step(stage=Stage.COMPLETED, reason="nothing runs elsewhere")
+    if stage is Stage.LOADED and progress.stage_age_s >= LOADED_S:
+        return Transition(stage=Stage.MOVING, reason="sound under load")
+    if (
+        stage is Stage.MOVING
+        and progress.other_in_flight == 0
+        and progress.all_peers_heard
+    ):
+        if progress.stage_age_s >= SETTLE_S / 2:
+            return Transition(stage=Stage.COMPLETED, reason="nothing runs elsewhere")
     return None
 
 
-def _after_canary(progress: Progress) -> Step | None:
+def _after_canary(progress: Progress) -> Transition | None:
     if progress.target_slots == 0:
         return None
     if progress.other_slots == 0:
-        return Step(stage=Stage.MOVING, reason="no other version is left")
+        return Transition(stage=Stage.MOVING, reason="no other version is left")
     if progress.elapsed_s < move_after_s(progress):
         return None
-    if progress.target_slots < progress.held:
+    if progress.target_slots < progress.other_in_flight:
         return None
-    if progress.judgement.verdict in (Verdict.SOUND, Verdict.LIKELY_SOUND):
-        return Step(stage=Stage.LOADED, reason="sound as a canary")
+    if progress.judgement.verdict in (CanaryVerdict.SOUND, CanaryVerdict.LIKELY_SOUND):
+        return Transition(stage=Stage.LOADED, reason="sound as a canary")
     if progress.requests <= progress.bounds.tolerance:
-        return Step(stage=Stage.LOADED, reason="hardly any requests")
+        return Transition(stage=Stage.LOADED, reason="hardly any requests")
     if progress.elapsed_s < progress.duration_s:
         return None
     if progress.judgement.log_odds > 0.0:
-        return Step(stage=Stage.STOPPED, reason="out of time, more bad than good")
-    return Step(stage=Stage.LOADED, reason="out of time, nothing bad seen")
+        return Transition(stage=Stage.STOPPED, reason="out of time, more bad than good")
+    return Transition(stage=Stage.LOADED, reason="out of time, nothing bad seen")
 
 
 def move_after_s(progress: Progress) -> float:
     """Return how long after the order the target is a canary, in seconds."""
-    moving_s = progress.answer_s + LOADED_S + SETTLE_S
+    moving_s = progress.longest_answer_s + LOADED_S + SETTLE_S
     duration_s = progress.duration_s
     return max(duration_s * CANARY_TIME_PART, duration_s - moving_s)
 
--- a/lavenderspoke/rollouts/places.py
+++ b/lavenderspoke/rollouts/versionload.py
@@ -6,11 +6,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Places:
+class VersionLoad:
     """The places of a service's upstreams by version: in all, and taken."""
 
     slots: Mapping[str, int] = attrs.field(factory=dict)
-    held: Mapping[str, int] = attrs.field(factory=dict)
+    in_flight: Mapping[str, int] = attrs.field(factory=dict)
 
     def target_slots(self, target: str) -> int:
         """Return the places at a roll-out's target."""
@@ -20,6 +20,6 @@
         """Return the places at all other versions."""
         return sum(count for each, count in self.slots.items() if each != target)
 
-    def other_held(self, target: str) -> int:
+    def other_in_flight(self, target: str) -> int:
         """Return the places that are taken at all other versions."""
-        return sum(count for each, count in self.held.items() if each != target)
+        return sum(count for each, count in self.in_flight.items() if each != target)
--- a/lavenderspoke/rollouts/versions.py
+++ b/lavenderspoke/rollouts/versions.py
@@ -16,16 +16,16 @@
 
 
 @attrs.define(kw_only=True)
-class Versions:
+class ServiceVersions:
     """The versions of one service: those in use, and since when others are known.
 
-    >>> versions = Versions()
-    >>> versions.listed(["v1", "v1", "v2"], 0.0)
-    >>> versions.in_use("v1"), versions.in_use("v2")
+    >>> versions = ServiceVersions()
+    >>> versions.update_listed(["v1", "v1", "v2"], 0.0)
+    >>> versions.is_in_use("v1"), versions.is_in_use("v2")
     (True, False)
-    >>> versions.orders_read(1.5)
+    >>> versions.release_held(1.5)
     ['v2']
-    >>> versions.in_use("v2")
+    >>> versions.is_in_use("v2")
     True
     """
 
@@ -33,7 +33,7 @@
     _closed: set[str] = attrs.field(factory=set)
     _seen_s: dict[str, float] = attrs.field(factory=dict)
 
-    def listed(
+    def update_listed(
         self, versions: Iterable[str], now_s: float, *, target: str | None = None
     ) -> None:
         """Take over the versions of the listed upstreams, each as often as it is there.
@@ -48,7 +48,7 @@
             if candidates:
                 self._in_use.add(max(candidates, key=counts.get))
 
-    def orders_read(self, read_s: float, *, target: str | None = None) -> list[str]:
+    def release_held(self, read_s: float, *, target: str | None = None) -> list[str]:
         """Take versions into use that no order named by then; return those."""
         settled = [
             version
@@ -59,21 +59,21 @@
         self._in_use.update(settled)
         return settled
 
-    def completed(self, target: str) -> None:
+    def complete(self, target: str) -> None:
         """Use a target in place of all other versions."""
         self._closed |= (self._in_use | self._seen_s.keys()) - {target}
         self._closed.discard(target)
         self._in_use = {target}
 
-    def rolled_back(self, target: str) -> None:
+    def roll_back(self, target: str) -> None:
         """Use a target no more, until another order names it."""
         self._in_use.discard(target)
         self._closed.add(target)
 
-    def in_use(self, version: str) -> bool:
+    def is_in_use(self, version: str) -> bool:
         """Return whether requests may go to upstreams of a version."""
         return version in self._in_use
 
-    def is_only(self, version: str) -> bool:
+    def is_only_listed(self, version: str) -> bool:
         """Return whether a version is in use and no other one is listed."""
         return version in self._in_use and self._seen_s.keys() == {version}
--- a/lavenderspoke/ui/explain.py
+++ b/lavenderspoke/ui/explain.py
@@ -9,7 +9,7 @@
 import typer
 
 from lavenderspoke.observing import explaining
-from lavenderspoke.observing.explaining import Line, Story
+from lavenderspoke.observing.explaining import Explanation, LogLine
 from lavenderspoke.ui.common import printable
 from lavenderspoke.util import UserError
 
@@ -27,8 +27,8 @@
 
 def explain(request_id: RequestId, files: LogFiles, as_json: AsJson = False) -> None:
     """Tell what became of a request and what may explain it."""
-    lines = explaining.parse(text for path in files for text in read(path))
-    stories = explaining.stories(lines, request_id)
+    lines = explaining.parse_logs(text for path in files for text in read(path))
+    stories = explaining.explain_request(lines, request_id)
     if not stories:
         raise UserError(f"{request_id}: in none of {len(lines.lines)} log lines")
     if as_json:
@@ -49,7 +49,7 @@
         raise UserError(f"{path}: {error.strerror}") from error
 
 
-def _print(story: Story) -> None:
+def _print(story: Explanation) -> None:
     line = story.line
     print(f"At {line.daemon}: {story.meaning}")
     for name, value in _fields(line).items():
@@ -61,7 +61,7 @@
         print(f"  {time_of(each.at_s)}  {printable(each.message)}: {printable(fields)}")
 
 
-def _fields(line: Line) -> dict:
+def _fields(line: LogLine) -> dict:
     return {
         name: value
         for name, value in line.fields.items()
--- a/lavenderspoke/ui/rollouts.py
+++ b/lavenderspoke/ui/rollouts.py
@@ -5,7 +5,11 @@
 import attrs
 
 from lavenderspoke.observing import explaining
-from lavenderspoke.observing.rollouts import Change, Course, courses
+from lavenderspoke.observing.rollouts import (
+    RolloutHistory,
+    StageChange,
+    rollout_histories,
+)
 from lavenderspoke.ui.common import printable
 from lavenderspoke.ui.explain import AsJson, LogFiles, read, time_of
 from lavenderspoke.util import UserError
@@ -13,8 +17,8 @@
 
 def rollouts(files: LogFiles, as_json: AsJson = False) -> None:
     """Tell how roll-outs went: each stage, why, and the answers it rests on."""
-    lines = explaining.parse(text for path in files for text in read(path))
-    told = courses(lines)
+    lines = explaining.parse_logs(text for path in files for text in read(path))
+    told = rollout_histories(lines)
     if not told:
         raise UserError(f"no roll-out in {len(lines.lines)} log lines")
     if as_json:
@@ -24,7 +28,7 @@
         _print(course)
 
 
-def _print(course: Course) -> None:
+def _print(course: RolloutHistory) -> None:
     state = course.state or "nothing written yet"
     name = printable(f"{course.service} to {course.target}")
     print(f"{name}, order {course.order}: {printable(state)}")
@@ -32,7 +36,7 @@
         _print_change(change)
 
 
-def _print_change(change: Change) -> None:
+def _print_change(change: StageChange) -> None:
     what = printable(f"{change.stage}: {change.reason}")
     print(f"  {time_of(change.at_s)}  {what} (at {printable(change.daemon)})")
     if change.requests is not None:
