--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -109,7 +109,7 @@
     entry = fleet.entries["entry-3"]
     context.refused = [f"refused-{number}" for number in range(100)]
     for fingerprint in context.refused:
-        entry.dispatcher._returns.refused(fingerprint, fleet.now_s)
+        entry.dispatcher._returns.record_refusal(fingerprint, fleet.now_s)
         fleet.run(0.01)
 
 
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -269,7 +269,7 @@
     seen = set()
     for name, entry in context.world.entries.items():
         counts = {
-            reason.value: entry.metrics.counter(
+            reason.value: entry.metrics.counter_value(
                 STORE_CALLS, f"{entry.feed.topic}:{reason.value}"
             )
             for reason in CallReason
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -25,7 +25,7 @@
 from lavenderspoke.direct.messages import PassedOn, SharedState
 from lavenderspoke.direct.quota import SharedQuota
 from lavenderspoke.direct.refusals import not_run
-from lavenderspoke.direct.rolling import Rollouts, Wish
+from lavenderspoke.direct.rolling import Rollouts, StatusUpdate
 from lavenderspoke.direct.scheduler import (
     RETRY_AFTER_MAX_SHARE,
     RETRY_AFTER_MIN_S,
@@ -104,7 +104,7 @@
             peer_loads=self._peers.loads,
             peer_counts=self._peers.counts,
             access=self._rollouts.access,
-            canary=self._rollouts.canary,
+            canary=self._rollouts.canary_splitter,
         )
         self._verdicts = UpstreamMonitor(
             own_name=name, scheduler=self._scheduler, metrics=metrics
@@ -202,7 +202,7 @@
             line.release(ticket, upstream.upstream_id, now_s)
             answer = attempt_result(ticket, accepted.route, outcome, now_s)
             if answer is not None:
-                self._rollouts.answered(upstream, answer)
+                self._rollouts.record_attempt(upstream, answer)
 
     def release_slot(self, ticket: Ticket, upstream: Upstream) -> None:
         with self._lock:
@@ -257,7 +257,7 @@
         """
         with self._lock:
             now_s = self._now_s()
-            self._rollouts.listed(upstreams, now_s)
+            self._rollouts.update_upstreams(upstreams, now_s)
             self._scheduler.reconfigure(upstreams, now_s)
             restarted = self._verdicts.update_listed(upstreams, now_s)
             listed = {each.upstream_id for each in upstreams}
@@ -298,35 +298,35 @@
     def rollout_ordered(self, order: Order) -> None:
         """Take over an operator's order to move a service to another version."""
         with self._lock:
-            self._rollouts.ordered(order, self._now_s())
+            self._rollouts.add_order(order, self._now_s())
             self._scheduler.rollouts_changed()
 
     def order_withdrawn(self, service: str, number: int) -> None:
         """Stop the roll-out that was ordered before record `number`."""
         with self._lock:
-            self._rollouts.withdrawn(service, number, self._now_s())
+            self._rollouts.withdraw_order(service, number, self._now_s())
             self._scheduler.rollouts_changed()
 
     def orders_read(self, sent_s: float) -> None:
         """Note that a read sent then has shown all orders."""
         with self._lock:
             self._orders_read_s = max(self._orders_read_s, sent_s)
-            if self._rollouts.orders_read(sent_s):
+            if self._rollouts.release_held_versions(sent_s):
                 self._scheduler.rollouts_changed()
 
     def rollout_stored(self, order: Order, stage: Stage, elapsed_s: float) -> None:
         """Take over what the store says of a roll-out that was ordered so long ago."""
         with self._lock:
-            self._rollouts.stored(order, stage, elapsed_s, self._now_s())
+            self._rollouts.apply_stored_stage(order, stage, elapsed_s, self._now_s())
             self._scheduler.rollouts_changed()
 
-    def rollout_records_due(self) -> list[Wish]:
+    def rollout_records_due(self) -> list[StatusUpdate]:
         """Return the roll-outs whose record is for this entry to write."""
         with self._lock:
             if not self._rollouts.is_any_running:
                 return []
             now_s = self._now_s()
-            return self._rollouts.wishes(self._surroundings(now_s), now_s)
+            return self._rollouts.status_updates(self._surroundings(now_s), now_s)
 
     # Peers
 
@@ -371,7 +371,7 @@
             self._roll(now_s)
             lines = self._scheduler.queues().values()
             running = sum(line.pool.peer_requests() for line in lines)
-        self._metrics.gauge(PEERS_RUNNING, running)
+        self._metrics.set_gauge(PEERS_RUNNING, running)
 
     def known_peers(self) -> dict[str, EntryLocation]:
         """Return the other entries that may be alive, by name."""
@@ -412,7 +412,7 @@
                 waiting=waiting,
                 held=held,
                 spent=self._spent_news(),
-                rollouts=self._rollouts.news(self._now_s()),
+                rollouts=self._rollouts.outgoing_news(self._now_s()),
                 refused=self._returns.take_unsent(),
                 gone=found.gone,
                 unreached=found.unreached,
@@ -430,7 +430,7 @@
         if not self._peers.receive(sender, state, now_s, age_s=age_s):
             return False
         self._returns.record_peer_refusals(state.refused, now_s)
-        self._rollouts.heard(sender, state.rollouts, now_s)
+        self._rollouts.receive_news(sender, state.rollouts, now_s)
         self._verdicts.merge_peer_state(sender.name, state, now_s)
         self._quota.merge_peer_spent(
             sender.name, sender.incarnation, state.spent, now_s=now_s
@@ -444,7 +444,7 @@
         places = {
             service: line.pool.version_load()
             for service, line in self._scheduler.queues().items()
-            if self._rollouts.canary(service) is not None
+            if self._rollouts.canary_splitter(service) is not None
         }
         if self._rollouts.tick(places, self._surroundings(now_s), now_s):
             self._scheduler.rollouts_changed()
--- a/lavenderspoke/direct/pool.py
+++ b/lavenderspoke/direct/pool.py
@@ -13,7 +13,7 @@
 from lavenderspoke.direct.outliers import is_outlier, may_eject
 from lavenderspoke.direct.prefillrate import PrefillRate
 from lavenderspoke.rollouts.orders import Access
-from lavenderspoke.rollouts.places import Places
+from lavenderspoke.rollouts.versionload import VersionLoad
 
 # Time between two events of a stream, in seconds, at an upstream not yet measured.
 PACE_DEFAULT_S = 0.02
@@ -270,7 +270,7 @@
         )
         return sum(max(0, s.free_slots()) for s in usable if not s.health.is_ejected)
 
-    def version_load(self) -> Places:
+    def version_load(self) -> VersionLoad:
         """Return the places by version, in all and taken."""
         slots: Counter[str] = Counter()
         held: Counter[str] = Counter()
@@ -279,7 +279,7 @@
             held[version] += seat.in_flight()
             if not seat.upstream.leaving and seat.evicted_until_s is None:
                 slots[version] += seat.upstream.slots
-        return Places(slots=slots, held=held)
+        return VersionLoad(slots=slots, in_flight=held)
 
     def in_flight(self) -> int:
         """Return how many requests run, this entry's own and its peers'."""
