--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -252,7 +252,7 @@
         customer=None,
         rank=(0, 0),
         fingerprint="f",
-        returned=False,
+        resubmitted=False,
         first_arrived_s=now_s,
         arrived_s=now_s,
         deadline_s=now_s + TIMEOUT_S,
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -109,7 +109,7 @@
     entry = fleet.entries["entry-3"]
     context.refused = [f"refused-{number}" for number in range(100)]
     for fingerprint in context.refused:
-        entry.dispatcher._returns.record_refusal(fingerprint, fleet.now_s)
+        entry.dispatcher._resubmissions.record_refusal(fingerprint, fleet.now_s)
         fleet.run(0.01)
 
 
@@ -268,5 +268,5 @@
 @then("each entry expects all that were refused back")
 def step_expected(context):
     for name, entry in context.fleet.entries.items():
-        missing = set(context.refused) - entry.dispatcher._returns._first_s.keys()
+        missing = set(context.refused) - entry.dispatcher._resubmissions._first_s.keys()
         assert not missing, (name, sorted(missing)[:5])
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -222,7 +222,7 @@
             catalog, route, customer.ok_value, head, body.ok_value, journey.arrived_s
         )
         if isinstance(accepted, Ok):
-            journey.returned = accepted.ok_value.returned
+            journey.returned = accepted.ok_value.resubmitted
         return accepted
 
     def _customer(
@@ -271,7 +271,7 @@
             customer=customer,
             rank=(catalog.rank_of(customer), route.rank),
             fingerprint=_fingerprint(head, customer, body),
-            returned=False,
+            resubmitted=False,
             first_arrived_s=arrived_s,
             arrived_s=arrived_s,
             deadline_s=arrived_s + allowed_s,
--- a/lavenderspoke/direct/dispatcher.py
+++ b/lavenderspoke/direct/dispatcher.py
@@ -31,7 +31,7 @@
     customer: Customer | None
     rank: Rank
     fingerprint: str
-    returned: bool
+    resubmitted: bool
     first_arrived_s: float
     arrived_s: float
     deadline_s: float
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -209,7 +209,7 @@
             deadline_s=accepted.deadline_s,
             target_s=accepted.route.target_s,
             patience_s=accepted.route.patience_s,
-            resubmitted=accepted.returned or self._may_have_run or bool(self._tried),
+            resubmitted=accepted.resubmitted or self._may_have_run or bool(self._tried),
             on_decision=self._decide,
             excluded=self._tried | self.relocation.declined,
             may_wait=may_wait,
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -85,7 +85,7 @@
         self._metrics = metrics
         self._lock = threading.RLock()
         self._peers = Peers(own_name=name)
-        self._returns = Resubmissions()
+        self._resubmissions = Resubmissions()
         self._quota = SharedQuota(
             window_s=bounds.quota_window_s, tolerance=bounds.quota_tolerance
         )
@@ -127,20 +127,20 @@
             self._allowance(service).first_try(now_s)
             if self._verdicts.crashes.is_quarantined(service, fingerprint, now_s):
                 return Err(not_run(Reason.CRASHES_UPSTREAMS))
-            first_s = self._returns.take(fingerprint, now_s)
-            refused = self._spend(accepted, now_s, returned=first_s is not None)
+            first_s = self._resubmissions.take(fingerprint, now_s)
+            refused = self._spend(accepted, now_s, resubmitted=first_s is not None)
             if refused is not None:
                 # It is told when to come back, so it counts as one that did.
-                self._returns.record_refusal(
+                self._resubmissions.record_refusal(
                     fingerprint, first_s or accepted.first_arrived_s
                 )
                 return Err(refused)
         if first_s is None:
             return Ok(accepted)
-        return Ok(attrs.evolve(accepted, returned=True, first_arrived_s=first_s))
+        return Ok(attrs.evolve(accepted, resubmitted=True, first_arrived_s=first_s))
 
     def _spend(
-        self, accepted: AcceptedRequest, now_s: float, *, returned: bool
+        self, accepted: AcceptedRequest, now_s: float, *, resubmitted: bool
     ) -> Problem | None:
         customer = accepted.customer
         if customer is None:
@@ -148,7 +148,7 @@
         cost = customer.cost(accepted.head.total_tokens)
         rank = accepted.route.rank
         if self._quota.spend(
-            customer, cost, rank=rank, now_s=now_s, resubmitted=returned
+            customer, cost, rank=rank, now_s=now_s, resubmitted=resubmitted
         ):
             return None
         wait_s = self._quota.wait_s(customer, cost, rank=rank, now_s=now_s)
@@ -160,7 +160,9 @@
     def note_refusal(self, accepted: AcceptedRequest, *, ran: Ran) -> None:
         """Note a request that got no answer from an upstream."""
         with self._lock:
-            self._returns.record_refusal(accepted.fingerprint, accepted.first_arrived_s)
+            self._resubmissions.record_refusal(
+                accepted.fingerprint, accepted.first_arrived_s
+            )
             customer = accepted.customer
             if ran is Ran.NO and customer is not None:
                 cost = customer.cost(accepted.head.total_tokens)
@@ -413,7 +415,7 @@
                 held=held,
                 spent=self._spent_news(),
                 rollouts=self._rollouts.outgoing_news(self._now_s()),
-                refused=self._returns.take_unsent(),
+                refused=self._resubmissions.take_unsent(),
                 gone=found.gone,
                 unreached=found.unreached,
                 failing=found.failing,
@@ -429,7 +431,7 @@
     ) -> bool:
         if not self._peers.receive(sender, state, now_s, age_s=age_s):
             return False
-        self._returns.record_peer_refusals(state.refused, now_s)
+        self._resubmissions.record_peer_refusals(state.refused, now_s)
         self._rollouts.receive_news(sender, state.rollouts, now_s)
         self._verdicts.merge_peer_state(sender.name, state, now_s)
         self._quota.merge_peer_spent(
--- a/lavenderspoke/direct/quota.py
+++ b/lavenderspoke/direct/quota.py
@@ -122,7 +122,7 @@
     ) -> bool:
         """Count a request, or return False when it exceeds the limit.
 
-        One that was refused and has `returned` asks for what it asked for before.
+        One that was refused and has `resubmitted` asks for what it asked for before.
         """
         if customer.per_s <= 0.0:
             return True
--- a/lavenderspoke/direct/rollout.py
+++ b/lavenderspoke/direct/rollout.py
@@ -130,7 +130,7 @@
             requests_per_s=self._rate(requests, now_s),
             longest_answer_s=answer_s,
             other_in_flight=places.other_in_flight(target),
-            all_peers_heard=cluster.all_peers_live,
+            all_peers_live=cluster.all_peers_live,
             target_slots=places.target_slots(target),
             other_slots=places.other_slots(target),
             bounds=cluster.bounds,
--- a/lavenderspoke/rollouts/transitions.py
+++ b/lavenderspoke/rollouts/transitions.py
@@ -52,7 +52,7 @@
     began. `requests` were sent to the service since the order, `to_target` of them to
     the target; `requests_per_s` is the current rate. `longest_answer_s` is how long the
     longest answers take. `other_in_flight` requests run on other versions than the
-    target; unless `all_peers_heard`, silent entries may have more in flight there.
+    target; unless `all_peers_live`, silent entries may have more in flight there.
     `target_slots` and `other_slots` are the slots of the target and of the others.
     """
 
@@ -66,7 +66,7 @@
     requests_per_s: float
     longest_answer_s: float
     other_in_flight: int
-    all_peers_heard: bool
+    all_peers_live: bool
     target_slots: int
     other_slots: int
     bounds: Bounds
@@ -95,7 +95,7 @@
     if (
         stage is Stage.MOVING
         and progress.other_in_flight == 0
-        and progress.all_peers_heard
+        and progress.all_peers_live
     ):
         if progress.stage_age_s >= SETTLE_S / 2:
             return Transition(stage=Stage.COMPLETED, reason="nothing runs elsewhere")
