--- a/bench/points.py
+++ b/bench/points.py
@@ -15,7 +15,7 @@
 
 from bench import driven
 from lavenderspoke import messages
-from lavenderspoke.affinity import PrefixSketch
+from lavenderspoke.affinity import PrefixIndex
 from lavenderspoke.agentevents import DocumentInForce, RunBody, RunEnded, RunHead
 from lavenderspoke.documents.service import parse_service
 from lavenderspoke.envelope import Envelope
@@ -221,7 +221,7 @@
         call=call,
         arrived_s=number * 1e-6,
         deadline_s=60.0,
-        warm={f"engine-{number % 7}": 128} if number % 2 else {},
+        cached_tokens={f"engine-{number % 7}": 128} if number % 2 else {},
     )
 
 
@@ -354,9 +354,9 @@
 @slope("a prefix believed held", Unit.MEMORY_BYTES, (20_000, 40_000, 80_000))
 def sketch_memory(size: int):
     def work():
-        sketch = PrefixSketch(entries_max=size)
+        sketch = PrefixIndex(entries_max=size)
         for number in range(size):
-            sketch.held(f"engine-{number % 50}", (f"{number:016x}",))
+            sketch.add(f"engine-{number % 50}", (f"{number:016x}",))
         return sketch
 
     return work
@@ -364,12 +364,12 @@
 
 @slope("eight prefix blocks told, and one lookup", Unit.CPU_US, (1000, 2000, 4000))
 def sketch_operation(size: int):
-    sketch = PrefixSketch(entries_max=50_000)
+    sketch = PrefixIndex(entries_max=50_000)
 
     def work():
         for number in range(size):
             blocks = tuple(f"{number:08}{block:08}" for block in range(8))
-            sketch.held(f"engine-{number % 50}", blocks)
+            sketch.add(f"engine-{number % 50}", blocks)
             sketch.lookup(blocks, 16)
 
     return work
--- a/features/bagrules.py
+++ b/features/bagrules.py
@@ -277,7 +277,7 @@
     return lists | strategies.randoms(use_true_random=True).map(seeded)
 
 
-def play(bag: CoreBag, made: list[Choice], *, is_healed: bool = True) -> CoreBag:
+def run_choices(bag: CoreBag, made: list[Choice], *, is_healed: bool = True) -> CoreBag:
     """Carry choices out, then heal everything and check how it all ended."""
     for name, number in made:
         RULES[name](bag, number)
--- a/features/calls.py
+++ b/features/calls.py
@@ -64,5 +64,5 @@
         call=make_call(name, **call),
         arrived_s=at_s,
         deadline_s=deadline_s,
-        warm=warm or {},
+        cached_tokens=warm or {},
     )
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -4,7 +4,7 @@
 
 from features.calls import TIERS, make_call, make_service, make_waiting
 from lavenderspoke.admission import Admission
-from lavenderspoke.drain import DrainRate
+from lavenderspoke.drainrate import DrainRate
 from lavenderspoke.model import Ran
 from lavenderspoke.waiting import WaitingQueue, cost_tokens
 
@@ -50,14 +50,14 @@
     for number in range(count):
         now_s = (number + 1) / rate
         taken = context.queue.take(now_s, upstream="x")
-        context.drain.granted(
+        context.drain.record_grant(
             taken.call.tier, cost_tokens(taken.call), now_s, context.queue.counts()
         )
 
 
 @when("{seconds:g} s pass without a request")
 def step_pass(context, seconds):
-    context.drain.granted(TIERS["position"], 100, seconds, context.queue.counts())
+    context.drain.record_grant(TIERS["position"], 100, seconds, context.queue.counts())
 
 
 def admit(context, left_s, now_s):
--- a/features/steps/affinity_steps.py
+++ b/features/steps/affinity_steps.py
@@ -6,7 +6,7 @@
 from features import modeltraces
 from features.calls import make_call
 from lavenderspoke import messages
-from lavenderspoke.affinity import PrefixSketch
+from lavenderspoke.affinity import PrefixIndex
 from lavenderspoke.agentevents import CacheChanged, RunBody, RunEnded
 from lavenderspoke.messages import PrefixHeld
 from lavenderspoke.model import InstanceId
@@ -46,24 +46,24 @@
 
 @given("a sketch of {entries:d} entries")
 def step_sketch(context, entries):
-    context.sketch = PrefixSketch(entries_max=entries)
+    context.sketch = PrefixIndex(entries_max=entries)
 
 
 @when('"{upstream}" holds blocks {blocks}')
 def step_holds(context, upstream, blocks):
-    context.sketch.held(upstream, names(blocks))
+    context.sketch.add(upstream, names(blocks))
 
 
 @when('"{upstream}" drops blocks {blocks}')
 def step_drops(context, upstream, blocks):
-    context.sketch.dropped(upstream, names(blocks))
+    context.sketch.remove(upstream, names(blocks))
 
 
 @when('life {life} of "{upstream}" tells {sequence:d} that it holds blocks {blocks}')
 def step_tells(context, life, upstream, sequence, blocks):
     message = PrefixHeld(service="s", sequence=sequence, added=names(blocks))
     sender = InstanceId(name=f"agent-{upstream}", incarnation=life)
-    context.sketch.apply(sender, message, upstream=upstream)
+    context.sketch.apply_event(sender, message, upstream=upstream)
 
 
 def lookup(context, blocks):
--- a/features/steps/direct_limits_steps.py
+++ b/features/steps/direct_limits_steps.py
@@ -284,5 +284,5 @@
 
 @then("no more than {most:d} retries are allowed at once")
 def step_allowed(context, most):
-    allowed = sum(context.allowance.spend(0.0) for _ in range(50))
+    allowed = sum(context.allowance.try_spend(0.0) for _ in range(50))
     assert 1 <= allowed <= most, allowed
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -169,9 +169,9 @@
     for number in range(count):
         context.now_s += seconds / count
         if number < firsts:
-            context.allowance.first_try(context.now_s)
+            context.allowance.record_first_attempt(context.now_s)
         if number < retries:
-            context.allowed += context.allowance.spend(context.now_s)
+            context.allowed += context.allowance.try_spend(context.now_s)
 
 
 @when("{seconds:g} s pass without tries")
--- a/features/steps/poison_steps.py
+++ b/features/steps/poison_steps.py
@@ -2,15 +2,20 @@
 
 from behave import given, then, when
 
-from lavenderspoke.poison import CrashEvidence, CrashLedger, Poison, Quarantined
+from lavenderspoke.poison import (
+    CrashEvidence,
+    CrashHistory,
+    Quarantined,
+    QuarantinePolicy,
+)
 
 NAMES = ("bad", "twin", "popular", "b1", "b2", "b3", "b4")
 
 
 @given("a crash ledger with a threshold of {threshold:d}")
 def step_ledger(context, threshold):
-    poison = Poison(upstreams_threshold=threshold, quarantine_s=600.0)
-    context.crash_ledger = CrashLedger(service="s", poison=poison)
+    poison = QuarantinePolicy(upstreams_threshold=threshold, quarantine_s=600.0)
+    context.crash_ledger = CrashHistory(service="s", poison=poison)
     context.crashes, context.now_s = 0, 0.0
 
 
@@ -22,7 +27,7 @@
         fingerprints=fingerprints,
     )
     context.running = fingerprints
-    return context.crash_ledger.crashed(message, context.now_s)
+    return context.crash_ledger.record_crash(message, context.now_s)
 
 
 @when('"{upstream}" crashes running {names}')
@@ -38,7 +43,7 @@
 
 @when("{name} is answered")
 def step_answered(context, name):
-    context.crash_ledger.answered(name)
+    context.crash_ledger.record_answered(name)
 
 
 @when("{seconds:g} s pass for the ledger")
@@ -48,7 +53,7 @@
 
 def quarantined(context):
     ledger = context.crash_ledger
-    return [name for name in NAMES if ledger.quarantined(name, context.now_s)]
+    return [name for name in NAMES if ledger.is_quarantined(name, context.now_s)]
 
 
 @then("nothing is quarantined")
--- a/features/steps/properties_steps.py
+++ b/features/steps/properties_steps.py
@@ -3,7 +3,7 @@
 from behave import then, when
 from hypothesis import strategies
 
-from features.bagrules import Choice, choices, play
+from features.bagrules import Choice, choices, run_choices
 from features.corebag import SERVICE, BagSettings, CoreBag
 from features.helper import fuzz
 from lavenderspoke.core import Received
@@ -66,7 +66,7 @@
 def hold(rules: dict[str, int], examples: int, **settings) -> None:
     def check(drawn) -> None:
         kind, made = drawn
-        play(CoreBag(BagSettings(kind=kind, **settings)), made)
+        run_choices(CoreBag(BagSettings(kind=kind, **settings)), made)
 
     fuzz(strategies.tuples(KINDS, choices(rules)), check, examples=examples)
 
@@ -101,7 +101,7 @@
 
 @then("no promise is broken by these choices with short-lived keys")
 def step_recorded(context):
-    play(CoreBag(BagSettings(**SHORT_LIVED)), recorded(context))
+    run_choices(CoreBag(BagSettings(**SHORT_LIVED)), recorded(context))
 
 
 CROWDED = {"entries": 3, "agents": 1, "slots": 1, "waiting_max": 3}
@@ -114,7 +114,7 @@
 
 @then("no tier is shed before a lower one by these choices")
 def step_shed_recorded(context):
-    play(CoreBag(BagSettings(**CROWDED)), recorded(context))
+    run_choices(CoreBag(BagSettings(**CROWDED)), recorded(context))
 
 
 @when("a granted keyed request is refused for its stamp below a peer's floor")
--- a/features/steps/shedding_steps.py
+++ b/features/steps/shedding_steps.py
@@ -4,14 +4,14 @@
 from lavenderspoke.core import Send
 from lavenderspoke.messages import Floor, FloorHeld
 from lavenderspoke.model import InstanceId
-from lavenderspoke.shedding import DropBelow, FloorKeeper
+from lavenderspoke.shedding import DropBelow, FloorCoordinator
 
 POSITION = TIERS["position"]
 
 
 def start(context, name, incarnation="1"):
     context.ids[name] = InstanceId(name=name, incarnation=incarnation)
-    context.keepers[name] = FloorKeeper(
+    context.keepers[name] = FloorCoordinator(
         service=make_service(), instance=context.ids[name]
     )
 
@@ -25,7 +25,7 @@
 
 def want(context, rank, now_s):
     peers = {peer for name, peer in context.ids.items() if name != "one"}
-    actions = context.keepers["one"].want_room(rank, now_s, peers)
+    actions = context.keepers["one"].request_floor(rank, now_s, peers)
     note_drops(context, "one", actions)
     sends = [action for action in actions if isinstance(action, Send)]
     if sends:
@@ -41,12 +41,12 @@
 
 def deliver(context, send, now_s):
     name = send.recipient.name
-    actions = context.keepers[name].heard_floor(context.ids["one"], send.message, now_s)
+    actions = context.keepers[name].on_floor(context.ids["one"], send.message, now_s)
     note_drops(context, name, actions)
     assert isinstance(actions[0], DropBelow) and isinstance(
         actions[1].message, FloorHeld
     )
-    context.keepers["one"].heard_held(context.ids[name], actions[1].message, now_s)
+    context.keepers["one"].on_floor_held(context.ids[name], actions[1].message, now_s)
 
 
 @when('"one" wants to drop {what} at {now:g} s')
@@ -69,12 +69,12 @@
 @when('a late position floor of "one" reaches "{name}" at {now:g} s')
 def step_late_floor(context, name, now):
     late = Floor(service="narrative", tier=POSITION, round=0, lease_s=2.0)
-    context.keepers[name].heard_floor(context.ids["one"], late, now)
+    context.keepers[name].on_floor(context.ids["one"], late, now)
 
 
 @when('"one" loses "{name}"')
 def step_loses(context, name):
-    context.keepers["one"].peer_lost(name)
+    context.keepers["one"].on_peer_lost(name)
     del context.ids[name]
 
 
@@ -150,11 +150,11 @@
 
 @then('"{name}" refuses {tier}s at {now:g} s')
 def step_refuses(context, name, tier, now):
-    floor = context.keepers[name].floor(now)
+    floor = context.keepers[name].floor_rank(now)
     assert floor is not None and TIERS[tier] < floor
 
 
 @then('"{name}" keeps {tier}s at {now:g} s')
 def step_keeps(context, name, tier, now):
-    floor = context.keepers[name].floor(now)
+    floor = context.keepers[name].floor_rank(now)
     assert floor is None or TIERS[tier] >= floor
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -57,7 +57,7 @@
 @when('the next request for "{upstream}" is taken and put back {count:d} times')
 def step_put_back_many(context, upstream, count):
     for _ in range(count):
-        context.queue.put_back(context.queue.take(1.0, upstream=upstream), 1.0)
+        context.queue.requeue(context.queue.take(1.0, upstream=upstream), 1.0)
 
 
 @when('{count:d} requests are taken by "{upstream}"')
@@ -136,7 +136,7 @@
 def step_put_back(context, name):
     request = context.queue.take(0.0, upstream="x")
     assert request.call.request_id == name
-    context.queue.put_back(request, 0.5)
+    context.queue.requeue(request, 0.5)
 
 
 @then('upstream "{upstream}" takes {names} at {now:g} s')
@@ -158,7 +158,7 @@
 
 @then("{tokens:d} tokens are ahead of a position request")
 def step_ahead(context, tokens):
-    assert context.queue.ahead_tokens(TIERS["position"]) == tokens
+    assert context.queue.backlog_tokens(TIERS["position"]) == tokens
 
 
 @when("all below an alert are dropped")
@@ -180,7 +180,7 @@
 @then("{count:d} request has expired at {now:g} s")
 @then("{count:d} requests have expired at {now:g} s")
 def step_expired(context, count, now):
-    assert len(context.queue.expired(now)) == count
+    assert len(context.queue.pop_expired(now)) == count
 
 
 def operate(queue, waiting, random, now_s, number):
@@ -204,14 +204,14 @@
             alive = [r.call.tier for r in waiting.values() if r.deadline_s > now_s]
             del waiting[taken.call.request_id]
             if random.random() < 0.2:
-                queue.put_back(taken, now_s)
+                queue.requeue(taken, now_s)
                 waiting[taken.call.request_id] = taken
             return taken.call.tier == max(alive)
     elif choice < 0.95 and waiting:
         name = random.choice(list(waiting))
         assert queue.remove(name) is waiting.pop(name)
     else:
-        for request in queue.expired(now_s):
+        for request in queue.pop_expired(now_s):
             del waiting[request.call.request_id]
     return True
 
@@ -227,7 +227,7 @@
         tiers = Counter(request.call.tier for request in waiting.values())
         cost = sum(cost_tokens(request.call) for request in waiting.values())
         context.agreed &= context.queue.counts() == dict(tiers)
-        context.agreed &= context.queue.ahead_tokens(0) == cost
+        context.agreed &= context.queue.backlog_tokens(0) == cost
 
 
 @then("no take put a lower tier in front and the books always agreed")
--- a/lavenderspoke/admission.py
+++ b/lavenderspoke/admission.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lavenderspoke.documents.service import Customer, Service
-from lavenderspoke.drain import DrainRate
+from lavenderspoke.drainrate import DrainRate
 from lavenderspoke.model import Call, Ran
 from lavenderspoke.problems import Problem, Reason
 from lavenderspoke.waiting import WaitingQueue
@@ -70,7 +70,7 @@
         deadline_in_s: float,
         now_s: float,
         queue: WaitingQueue,
-        drain: DrainRate,
+        drain_rate: DrainRate,
     ) -> Problem | None:
         """Return why a request is refused before it waits, or None.
 
@@ -78,7 +78,7 @@
         above can't leave before it at the measured rate. Where there is no
         measurement, the request is admitted.
         """
-        wait_s = self._estimate_s(call.tier, queue, drain)
+        wait_s = self._estimate_s(call.tier, queue, drain_rate)
         if wait_s is not None and wait_s > deadline_in_s:
             return _refusal(
                 Reason.DEADLINE_UNREACHABLE, self.retry_after_s(call.tier, now_s)
@@ -90,15 +90,15 @@
         rank: int,
         now_s: float,
         queue: WaitingQueue | None = None,
-        drain: DrainRate | None = None,
+        drain_rate: DrainRate | None = None,
     ) -> float:
         """Return when a refused caller of a tier should come back, with jitter.
 
         It comes from the drain rate: with `queue` and `drain` as they are now,
         else as they were at the tier's latest arrival.
         """
-        if queue is not None and drain is not None:
-            self._estimate_s(rank, queue, drain)
+        if queue is not None and drain_rate is not None:
+            self._estimate_s(rank, queue, drain_rate)
         return self._spread_s(self._waits_s.get(rank, RETRY_AFTER_MIN_S))
 
     def _estimate_s(
@@ -108,7 +108,7 @@
         if tokens_per_s is None:
             self._waits_s.pop(rank, None)
             return None
-        self._waits_s[rank] = queue.ahead_tokens(rank) / tokens_per_s
+        self._waits_s[rank] = queue.backlog_tokens(rank) / tokens_per_s
         return self._waits_s[rank]
 
     def _over_limit(
--- a/lavenderspoke/affinity.py
+++ b/lavenderspoke/affinity.py
@@ -18,7 +18,7 @@
     sequence: int
 
 
-class PrefixSketch:
+class PrefixIndex:
     """A bounded map from prefix names to the upstreams that hold them.
 
     `entries_max` bounds the pairs of name and upstream. The names that were
@@ -35,7 +35,7 @@
     def __len__(self) -> int:
         return self._entries
 
-    def held(self, upstream: str, hashes: tuple[str, ...]) -> None:
+    def add(self, upstream: str, hashes: tuple[str, ...]) -> None:
         """Believe that an upstream holds these prefixes."""
         names = self._names.setdefault(upstream, set())
         # The shortest prefix is touched last: a longer one is no use without
@@ -50,7 +50,7 @@
         while self._entries > self._entries_max:
             self._forget_oldest()
 
-    def dropped(self, upstream: str, hashes: tuple[str, ...]) -> None:
+    def remove(self, upstream: str, hashes: tuple[str, ...]) -> None:
         """Believe that an upstream no longer holds these prefixes."""
         names = self._names.get(upstream, set())
         for name in hashes:
@@ -58,13 +58,15 @@
                 names.remove(name)
                 self._remove(upstream, name)
 
-    def forget(self, upstream: str) -> None:
+    def remove_upstream(self, upstream: str) -> None:
         """Forget all that was believed of an upstream."""
         for name in self._names.pop(upstream, set()):
             self._remove(upstream, name)
         self._positions.pop(upstream, None)
 
-    def apply(self, sender: InstanceId, message: PrefixHeld, *, upstream: str) -> bool:
+    def apply_event(
+        self, sender: InstanceId, message: PrefixHeld, *, upstream: str
+    ) -> bool:
         """Take in an agent's event; return False when it told of a gap.
 
         Events count within an incarnation. After a gap, a restart or a reset
@@ -78,12 +80,12 @@
             return True
         follows = same_life and message.sequence == known.sequence + 1
         if not follows or message.reset:
-            self.forget(upstream)
+            self.remove_upstream(upstream)
         self._positions[upstream] = _Position(
             incarnation=sender.incarnation, sequence=message.sequence
         )
-        self.dropped(upstream, message.removed)
-        self.held(upstream, message.added)
+        self.remove(upstream, message.removed)
+        self.add(upstream, message.added)
         return follows or known is None
 
     def lookup(self, hashes: tuple[str, ...], block_tokens: int) -> dict[str, int]:
--- a/lavenderspoke/agentcore.py
+++ b/lavenderspoke/agentcore.py
@@ -10,7 +10,7 @@
 from lavenderspoke.capacity.slots import FixedLimit, Limit
 from lavenderspoke.capacity.straggler import PullCaution
 from lavenderspoke.core import Count, Received, Send, Tick
-from lavenderspoke.dispatching import PUSHED
+from lavenderspoke.dispatching import PUSHED_NONCE_PREFIX
 from lavenderspoke.documents.service import Service
 from lavenderspoke.leaving import Leaving
 from lavenderspoke.ledger import Ledger, Run, Verdict
@@ -291,7 +291,7 @@
         return self._accept(message, sender, now_s)
 
     def _refusal(self, grant, sender, verdict: Verdict, now_s) -> str | None:
-        is_pushed = self._accepts_pushed and grant.nonce.startswith(PUSHED)
+        is_pushed = self._accepts_pushed and grant.nonce.startswith(PUSHED_NONCE_PREFIX)
         if not is_pushed and not self.puller.use(
             grant.nonce, sender, grant.call.request_id, now_s
         ):
--- a/lavenderspoke/intake.py
+++ b/lavenderspoke/arrivalchecks.py
@@ -13,12 +13,12 @@
 
 
 @attrs.define(kw_only=True)
-class Intake:
+class ArrivalChecks:
     """The intake of one entry; `services` holds what it has documents for."""
 
     services: dict[str, ServiceState]
 
-    def problem(
+    def find_problem(
         self, arrival: Arrival, is_draining: bool, now_s: float
     ) -> Problem | None:
         """Return why a request is refused, or None to take it in."""
@@ -46,15 +46,15 @@
         return refusal(Reason.SHED, state.retry_after_s(rank, now_s))
 
     def _quarantined(self, state: ServiceState, arrival, now_s) -> Problem | None:
-        if not state.crashes.quarantined(arrival.call.fingerprint, now_s):
+        if not state.crashes.is_quarantined(arrival.call.fingerprint, now_s):
             return None
         return refusal(Reason.QUARANTINED, None)
 
     def _over_budget(self, state: ServiceState, arrival, now_s) -> Problem | None:
         if arrival.call.key is None or arrival.sending is Sending.FIRST:
-            state.retries.first_try(now_s)
+            state.retries.record_first_attempt(now_s)
             return None
-        if state.retries.spend(now_s):
+        if state.retries.try_spend(now_s):
             return None
         after_s = state.retry_after_s(arrival.call.tier, now_s)
         return refusal(Reason.RETRY_BUDGET, after_s)
@@ -70,7 +70,7 @@
     return Problem(reason=reason, ran=Ran.NO, retry_after_s=retry_after_s)
 
 
-def not_granted_ran(tracked: Tracked) -> Ran:
+def ran_when_dropped(tracked: Tracked) -> Ran:
     """Return what may be said of a request that ends in this entry.
 
     "Not run" is said only of one that no agent has, and never of a re-send:
--- a/lavenderspoke/demand.py
+++ b/lavenderspoke/demand.py
@@ -19,17 +19,17 @@
 
 
 @attrs.define(kw_only=True)
-class DemandTeller:
+class DemandNotifier:
     """What the agents of one service have been told of its queue."""
 
     service: str
     _told: dict[InstanceId, set[int]] = attrs.field(factory=dict)
     broadcast_s: float | None = None
 
-    def arrived(
+    def on_arrival(
         self,
         call: Call,
-        warm: dict[str, int],
+        cached_tokens: dict[str, int],
         queue: WaitingQueue,
         agents: list[AgentView],
         now_s: float,
@@ -37,15 +37,15 @@
         """Tell the agents that look best; the others a moment later."""
         if self.broadcast_s is None:
             self.broadcast_s = now_s + BROADCAST_AFTER_S
-        free = [v for v in agents if v.takes_work and v.announce.room > 0]
-        free.sort(key=lambda view: preference(view, warm))
+        free = [v for v in agents if v.accepts_work and v.announce.room > 0]
+        free.sort(key=lambda view: preference(view, cached_tokens))
         sends = []
         for view in free[:FANOUT]:
             if call.tier not in self._told.get(view.agent, ()):
                 sends.append(self._tell(view.agent, queue))
         return sends
 
-    def due(
+    def broadcast_if_due(
         self, queue: WaitingQueue, agents: list[AgentView], now_s: float
     ) -> list[Send]:
         """Tell every agent what it doesn't know, when that is due."""
@@ -56,16 +56,16 @@
         return [
             self._tell(view.agent, queue)
             for view in agents
-            if view.takes_work and waiting - self._told.get(view.agent, set())
+            if view.accepts_work and waiting - self._told.get(view.agent, set())
         ]
 
-    def refresh(self, queue: WaitingQueue, agents: list[AgentView]) -> list[Send]:
+    def notify_all(self, queue: WaitingQueue, agents: list[AgentView]) -> list[Send]:
         """Tell everyone anew, since any message may have been lost."""
         present = {view.agent for view in agents}
         self._told = {a: told for a, told in self._told.items() if a in present}
-        return [self._tell(view.agent, queue) for view in agents if view.takes_work]
+        return [self._tell(view.agent, queue) for view in agents if view.accepts_work]
 
-    def knows(self, agent: InstanceId, waiting: dict[int, int]) -> None:
+    def record_notified(self, agent: InstanceId, waiting: dict[int, int]) -> None:
         """Note what an agent was told in the answer to its pull."""
         self._told[agent] = set(waiting)
 
@@ -76,8 +76,8 @@
         return Send(recipient=agent, message=demand)
 
 
-def preference(view: AgentView, warm: dict[str, int]) -> tuple:
+def preference(view: AgentView, cached_tokens: dict[str, int]) -> tuple:
     """Return the sort key by which an idle agent is told first."""
     announce = view.announce
     busy_s = announce.step_s * (announce.running + 1)
-    return (announce.straggling, -warm.get(announce.upstream, 0), busy_s)
+    return (announce.straggling, -cached_tokens.get(announce.upstream, 0), busy_s)
--- a/lavenderspoke/direct/crashes.py
+++ b/lavenderspoke/direct/crashes.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from lavenderspoke.poison import CrashEvidence, CrashLedger, Poison
+from lavenderspoke.poison import CrashEvidence, CrashHistory, QuarantinePolicy
 
 # Answers that broke within this time, in seconds, before an upstream was found
 # dead, broke because it died.
@@ -28,7 +28,7 @@
 
     def __init__(self, *, own_name: str):
         self._own_name = own_name
-        self._ledgers: dict[str, CrashLedger] = {}
+        self._ledgers: dict[str, CrashHistory] = {}
         self._broken: dict[str, list[_Break]] = {}
 
     def broke(self, upstream_id: str, fingerprint: str, now_s: float) -> None:
@@ -55,22 +55,22 @@
 
     def heard(self, evidence: CrashEvidence, now_s: float) -> None:
         """Take in a crash that this or another entry saw."""
-        self._ledger(evidence.service).crashed(evidence, now_s)
+        self._ledger(evidence.service).record_crash(evidence, now_s)
 
     def answered(self, service: str, fingerprint: str) -> None:
         """Note that an upstream answered this content whole."""
-        self._ledger(service).answered(fingerprint)
+        self._ledger(service).record_answered(fingerprint)
 
     def quarantined(self, service: str, fingerprint: str, now_s: float) -> bool:
         """Return whether this content is to be refused."""
-        return self._ledger(service).quarantined(fingerprint, now_s)
+        return self._ledger(service).is_quarantined(fingerprint, now_s)
 
-    def _ledger(self, service: str) -> CrashLedger:
+    def _ledger(self, service: str) -> CrashHistory:
         if service not in self._ledgers:
-            poison = Poison(
+            poison = QuarantinePolicy(
                 upstreams_threshold=CRASHED_UPSTREAMS, quarantine_s=QUARANTINE_S
             )
-            self._ledgers[service] = CrashLedger(service=service, poison=poison)
+            self._ledgers[service] = CrashHistory(service=service, poison=poison)
         return self._ledgers[service]
 
 
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -116,7 +116,7 @@
         with self._lock:
             now_s = self._now_s()
             service, fingerprint = accepted.service, accepted.fingerprint
-            self._allowance(service).first_try(now_s)
+            self._allowance(service).record_first_attempt(now_s)
             if self._verdicts.crashes.quarantined(service, fingerprint, now_s):
                 return Err(not_run(Reason.CRASHES_UPSTREAMS))
             first_s = self._returns.take(fingerprint, now_s)
@@ -203,13 +203,13 @@
 
     def may_retry(self, service: str) -> bool:
         with self._lock:
-            may = self._allowance(service).spend(self._now_s())
+            may = self._allowance(service).try_spend(self._now_s())
         self._metrics.count(RETRIES, "sent" if may else "budget_spent")
         return may
 
     def retry_unused(self, service: str) -> None:
         with self._lock:
-            self._allowance(service).give_back()
+            self._allowance(service).refund()
         self._metrics.count(RETRIES, "unused")
 
     def looked(self, look: Look) -> None:
--- a/lavenderspoke/dispatching.py
+++ b/lavenderspoke/dispatching.py
@@ -13,10 +13,10 @@
 import attrs
 
 from lavenderspoke.views import AgentView
-from lavenderspoke.waiting import STRICT, QueuePolicy
+from lavenderspoke.waiting import DEFAULT_QUEUE_POLICY, QueuePolicy
 
 # A pushed grant rests on no pull; its nonce says so.
-PUSHED = "pushed:"
+PUSHED_NONCE_PREFIX = "pushed:"
 CHOICES = 2
 
 
@@ -36,16 +36,16 @@
     lower before it sheds; without it each entry sheds for itself.
     """
 
-    queue: QueuePolicy = STRICT
+    queue: QueuePolicy = DEFAULT_QUEUE_POLICY
     dispatching: Dispatching = Dispatching.PULL
     service_wide_shedding: bool = True
 
 
-def choose(
+def choose_agent(
     dispatching: Dispatching, agents: list[AgentView], random: Random
 ) -> AgentView | None:
     """Return the agent that a request is pushed to, by what was last reported."""
-    candidates = [view for view in agents if view.takes_work]
+    candidates = [view for view in agents if view.accepts_work]
     if dispatching is Dispatching.TWO_CHOICES and len(candidates) > CHOICES:
         candidates = random.sample(candidates, CHOICES)
     return min(candidates, key=lambda view: view.announce.running, default=None)
--- a/lavenderspoke/documents/service.py
+++ b/lavenderspoke/documents/service.py
@@ -6,7 +6,7 @@
 from result import Result
 
 from lavenderspoke.checking import fieldrules, schema, yamlnodes
-from lavenderspoke.poison import Poison
+from lavenderspoke.poison import QuarantinePolicy
 from lavenderspoke.retrybudget import RetryBudget
 from lavenderspoke.upstreams.upstream import OrderAction
 from lavenderspoke.util import Mistake
@@ -158,7 +158,7 @@
     )
     keys: Keys = attrs.field(factory=Keys)
     retry_budget: RetryBudget = attrs.field(factory=RetryBudget)
-    poison: Poison = attrs.field(factory=Poison)
+    poison: QuarantinePolicy = attrs.field(factory=QuarantinePolicy)
     waiting: Waiting = attrs.field(factory=Waiting)
     prefixes: Prefixes = attrs.field(factory=Prefixes)
     orders: tuple[LabelOrder, ...] = ()
--- a/lavenderspoke/drain.py
+++ b/lavenderspoke/drainrate.py
@@ -32,7 +32,7 @@
 
     >>> drain = DrainRate()
     >>> for second in range(4):
-    ...     drain.granted(1, 100, float(second), {1: 5})
+    ...     drain.record_grant(1, 100, float(second), {1: 5})
     >>> drain.tokens_per_s(1)
     100.0
     """
@@ -42,7 +42,7 @@
         self._waiting: dict[int, int] = {}
         self._last_s = 0.0
 
-    def granted(
+    def record_grant(
         self, rank: int, tokens: int, now_s: float, still_waiting: dict[int, int]
     ) -> None:
         """Count a request that left; `still_waiting` is the queue's new counts.
--- a/lavenderspoke/watchlist.py
+++ b/lavenderspoke/duequeue.py
@@ -6,13 +6,13 @@
 
 
 @attrs.define(kw_only=True)
-class Watchlist:
+class DueQueue:
     """A watchlist names each request once, by the time it is next due.
 
-    >>> watchlist = Watchlist()
+    >>> watchlist = DueQueue()
     >>> watchlist.add("r1", due_s=2.0)
     >>> watchlist.add("r1", due_s=1.0)
-    >>> watchlist.due(1.5), watchlist.due(2.0)
+    >>> watchlist.pop_due(1.5), watchlist.pop_due(2.0)
     ([], ['r1'])
     """
 
@@ -25,7 +25,7 @@
             self._watched.add(request_id)
             heapq.heappush(self._heap, (due_s, request_id))
 
-    def due(self, now_s: float) -> list[str]:
+    def pop_due(self, now_s: float) -> list[str]:
         """Return the requests that are due; they are watched no more."""
         found = []
         while self._heap and self._heap[0][0] <= now_s:
--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -8,14 +8,20 @@
 
 from lavenderspoke import entryevents as events, messages
 from lavenderspoke.agentevents import DocumentInForce, Exit
+from lavenderspoke.arrivalchecks import ArrivalChecks
 from lavenderspoke.core import Count, Observe, Received, Send, Tick
-from lavenderspoke.dispatching import PUSHED, Dispatching, EntryPolicy, choose
+from lavenderspoke.dispatching import (
+    PUSHED_NONCE_PREFIX,
+    Dispatching,
+    EntryPolicy,
+    choose_agent,
+)
 from lavenderspoke.documents.service import Kind, Service
+from lavenderspoke.dropping import RequestDropper
+from lavenderspoke.duequeue import DueQueue
 from lavenderspoke.following import Following, FollowingTimes
 from lavenderspoke.gateway import AnswerBroken, Sending
-from lavenderspoke.intake import Intake
 from lavenderspoke.keyclaims import KeyClaims
-from lavenderspoke.makingroom import MakingRoom
 from lavenderspoke.membership.roster import Roster
 from lavenderspoke.model import InstanceId, Ran
 from lavenderspoke.problems import Problem, Reason
@@ -23,7 +29,6 @@
 from lavenderspoke.servicestate import ServiceState
 from lavenderspoke.tracked import Phase, Tracked, TrackedRequests
 from lavenderspoke.views import AgentView, AgentViews, PeerViews
-from lavenderspoke.watchlist import Watchlist
 
 # Refusals that say that the key, not the agent, is the trouble.
 KEY_HELD = "key_held"
@@ -98,12 +103,12 @@
         self.times = times
         self.services: dict[str, ServiceState] = {}
         self.requests = TrackedRequests()
-        self.agents = AgentViews(lost_s=times.agent_lost_s)
-        self.peers = PeerViews(lost_s=times.peer_lost_s)
+        self.agents = AgentViews(silence_timeout_s=times.agent_lost_s)
+        self.peers = PeerViews(silence_timeout_s=times.peer_lost_s)
         self.roster = Roster(lease_s=times.roster_lease_s)
         self.draining = False
-        self.intake = Intake(services=self.services)
-        self.room = MakingRoom(
+        self.intake = ArrivalChecks(services=self.services)
+        self.room = RequestDropper(
             requests=self.requests, peers=self.peers, requests_max=requests_max
         )
         self.service_messages = ServiceMessages(
@@ -120,7 +125,7 @@
         self._new_id = new_id
         self._policy = policy
         self._listed_entries: tuple[str, ...] = ()
-        self._watchlist = Watchlist()
+        self._watchlist = DueQueue()
         self._check_due_s = now_s
         self._handled_s = now_s
         self._doubt_until_s = now_s
@@ -161,7 +166,7 @@
                 pending[:0] = self._put_back(action, now_s)
             elif isinstance(action, events.Answered):
                 state = self.services[action.call.service]
-                state.crashes.answered(action.call.fingerprint)
+                state.crashes.record_answered(action.call.fingerprint)
             else:
                 done.append(action)
         return done
@@ -179,10 +184,10 @@
     def _check(self, now_s: float) -> list:
         actions = []
         for state in self.services.values():
-            actions += self.room.expired(state, now_s)
-            actions += self.room.make_room(state, now_s)
+            actions += self.room.drop_expired(state, now_s)
+            actions += self.room.shed_excess(state, now_s)
             actions += self._tell_or_push(state, now_s)
-        for request_id in self._watchlist.due(now_s):
+        for request_id in self._watchlist.pop_due(now_s):
             tracked = self.requests.get(request_id)
             if tracked is not None and tracked.phase is not Phase.WAITING:
                 actions += self._check_one(tracked, now_s)
@@ -206,16 +211,18 @@
         return self.claims.begin(tracked, self._service(tracked), now_s)
 
     def _tell_or_push(self, state: ServiceState, now_s: float) -> list:
-        agents = self.agents.of(state.service.name)
+        agents = self.agents.for_service(state.service.name)
         if self._policy.dispatching is Dispatching.PULL:
-            return state.demand.due(state.queue, agents, now_s)
+            return state.demand.broadcast_if_due(state.queue, agents, now_s)
         return self._push(state, agents, now_s)
 
     def _push(self, state: ServiceState, agents: list[AgentView], now_s) -> list:
         sends = []
         while len(state.queue):
-            view = choose(self._policy.dispatching, agents, self._random)
-            grant = view and state.push(PUSHED + self._new_id(), view, now_s)
+            view = choose_agent(self._policy.dispatching, agents, self._random)
+            grant = view and state.push(
+                PUSHED_NONCE_PREFIX + self._new_id(), view, now_s
+            )
             if not grant:
                 break
             sends.append(self._hand_out(grant, view.agent, now_s))
@@ -232,21 +239,21 @@
 
     def _heartbeat(self, now_s: float) -> list:
         actions = []
-        for view in self.agents.expire(now_s):
+        for view in self.agents.remove_silent(now_s):
             state = self.services.get(view.announce.service)
             if state is not None:
-                state.sketch.forget(view.announce.upstream)
-        for peer in self.peers.expire(now_s):
+                state.sketch.remove_upstream(view.announce.upstream)
+        for peer in self.peers.remove_silent(now_s):
             for state in self.services.values():
-                state.floors.peer_lost(peer.name)
+                state.floors.on_peer_lost(peer.name)
         # Demand says as well that this entry lives, so agents need the longer
         # announcement less often.
         self._heartbeats += 1
         to_agents = self._heartbeats % ANNOUNCE_EVERY == 0
         actions += self._announce(self._everyone() if to_agents else self._entries())
         for state in self.services.values():
-            agents = self.agents.of(state.service.name)
-            actions += state.demand.refresh(state.queue, agents)
+            agents = self.agents.for_service(state.service.name)
+            actions += state.demand.notify_all(state.queue, agents)
         return actions
 
     def _everyone(self) -> list[InstanceId]:
@@ -302,7 +309,7 @@
     @_on.register
     def _(self, event: events.PeersListed, now_s: float) -> list:
         self._listed_entries = event.entry_names
-        self.agents.listed_leaving(event.leaving_agents)
+        self.agents.set_listed_leaving(event.leaving_agents)
         return []
 
     @_on.register
@@ -352,7 +359,7 @@
     @_on.register
     def _(self, event: events.Arrived, now_s: float) -> list:
         arrival = event.arrival
-        problem = self.intake.problem(arrival, self.draining, now_s)
+        problem = self.intake.find_problem(arrival, self.draining, now_s)
         if problem is not None:
             return [
                 Count(name="refusals", reason=problem.reason.value),
@@ -382,12 +389,12 @@
         return self._offer(state, tracked, warm, now_s)
 
     def _offer(self, state, tracked, warm: dict[str, int], now_s: float) -> list:
-        agents = self.agents.of(state.service.name)
-        is_short = state.is_full() or self.room.is_short()
-        actions = self.room.make_room(state, now_s) if is_short else []
+        agents = self.agents.for_service(state.service.name)
+        is_short = state.is_full() or self.room.is_near_limit()
+        actions = self.room.shed_excess(state, now_s) if is_short else []
         if self._policy.dispatching is not Dispatching.PULL:
             return actions + self._push(state, agents, now_s)
-        return actions + state.demand.arrived(
+        return actions + state.demand.on_arrival(
             tracked.call, warm, state.queue, agents, now_s
         )
 
@@ -400,13 +407,13 @@
         if tracked.is_out:
             cancel = messages.Cancel(request_id=tracked.run_id)
             actions.append(Send(recipient=tracked.agent, message=cancel))
-        return [*actions, self.room.refuse(event.request_id, Reason.CALLER_GONE)]
+        return [*actions, self.room.finish_with(event.request_id, Reason.CALLER_GONE)]
 
     # Claims
 
     def _check_claims(self, tracked: Tracked, now_s: float) -> list:
         if now_s >= tracked.deadline_s:
-            return [self.room.refuse(tracked.request_id, Reason.DEADLINE_EXPIRED)]
+            return [self.room.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED)]
         step = self.claims.check(tracked, self._service(tracked), now_s)
         if step.found is not None:
             found = self.following.attach(
@@ -467,10 +474,10 @@
         if now_s >= tracked.deadline_s:
             return [
                 counted,
-                self.room.refuse(tracked.request_id, Reason.DEADLINE_EXPIRED),
+                self.room.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED),
             ]
         if is_below:
-            return [counted, self.room.refuse(tracked.request_id, Reason.SHED)]
+            return [counted, self.room.finish_with(tracked.request_id, Reason.SHED)]
         warm = state.put_back(tracked, now_s)
         return [counted, *self._offer(state, tracked, warm, now_s)]
 
@@ -498,7 +505,7 @@
     @_from.register
     def _(self, message: messages.Announce, sender, now_s) -> list:
         known = self.agents.get(sender) is not None
-        is_new = self.agents.heard(sender, message, now_s)
+        is_new = self.agents.record_announcement(sender, message, now_s)
         actions = [] if known else self._welcome(sender, message)
         return actions + self._succeeded(sender, message, now_s) if is_new else actions
 
@@ -506,20 +513,20 @@
         actions = self._announce([agent])
         state = self.services.get(announce.service)
         if state is not None and self.agents.get(agent) is not None:
-            actions += state.demand.refresh(state.queue, [self.agents.get(agent)])
+            actions += state.demand.notify_all(state.queue, [self.agents.get(agent)])
         return actions
 
     def _succeeded(self, new: InstanceId, announce, now_s: float) -> list:
         state = self.services.get(announce.service)
         if state is None:
             return []
-        state.sketch.forget(announce.upstream)
+        state.sketch.remove_upstream(announce.upstream)
         can_resume = state.service.upstreams.kind is Kind.MODEL
         return self.following.succeeded(new, can_resume, now_s)
 
     @_from.register
     def _(self, message: messages.EntryAnnounce, sender, now_s) -> list:
-        is_new = self.peers.heard(sender, message, now_s)
+        is_new = self.peers.record_announcement(sender, message, now_s)
         return self._announce([sender]) if is_new else []
 
     @_from.register
@@ -527,7 +534,7 @@
         state = self.services.get(message.service)
         view = self.agents.get(sender)
         # The platform may say that an upstream leaves before its agent knows.
-        if state is None or view is None or not view.takes_work:
+        if state is None or view is None or not view.accepts_work:
             return []
         grants, done = state.answer_pull(message, view, now_s)
         sends = [self._hand_out(grant, sender, now_s) for grant in grants]
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -12,13 +12,13 @@
 import attrs
 
 from lavenderspoke import messages
-from lavenderspoke.assembly import is_whole
 from lavenderspoke.core import Count, Observe, Send
 from lavenderspoke.entryevents import Answered, Finish, PutBack, Reply
 from lavenderspoke.gateway import AnswerBody, AnswerEnd
 from lavenderspoke.messages import Piece
 from lavenderspoke.model import InstanceId, Ran, Standing
 from lavenderspoke.problems import Problem, Reason
+from lavenderspoke.reassembly import is_complete
 from lavenderspoke.tracked import Phase, Tracked, TrackedRequests
 
 # "Never", said of a revoke or by a refusal, is trusted for this long after the
@@ -137,7 +137,7 @@
         return actions
 
     def _last(self, tracked: Tracked, piece: Piece, now_s: float) -> list:
-        if not is_whole(piece):
+        if not is_complete(piece):
             return [self._ends(tracked, "the count of pieces is wrong", Ran.YES)]
         taken = messages.AnswerTaken(request_id=tracked.run_id)
         self.requests.remove(tracked.request_id)
--- a/lavenderspoke/poison.py
+++ b/lavenderspoke/poison.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Poison:
+class QuarantinePolicy:
     """After how many distinct crashed upstreams a request is refused."""
 
     upstreams_threshold: int = attrs.field(
@@ -63,24 +63,24 @@
     at_s: float
 
 
-class CrashLedger:
+class CrashHistory:
     """The crashes of one service that are still remembered, and the verdicts.
 
     Crashes are forgotten after the document's `quarantine_s`.
     """
 
-    def __init__(self, *, service: str, poison: Poison):
+    def __init__(self, *, service: str, poison: QuarantinePolicy):
         self._service = service
         self._poison = poison
         self._crashes: OrderedDict[str, _Crash] = OrderedDict()
         self._answered: OrderedDict[str, None] = OrderedDict()
         self._quarantined_until_s: dict[str, float] = {}
 
-    def reconfigure(self, poison: Poison) -> None:
+    def reconfigure(self, poison: QuarantinePolicy) -> None:
         """Put another document's rule in force."""
         self._poison = poison
 
-    def crashed(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
+    def record_crash(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
         """Take in a crash and return what is quarantined by it.
 
         A crash that was told of before changes nothing.
@@ -96,7 +96,7 @@
         guilty = [
             each
             for each in sorted(self._crashes[message.crash_id].fingerprints)
-            if not self.quarantined(each, now_s) and self._guilty(each, now_s)
+            if not self.is_quarantined(each, now_s) and self._guilty(each, now_s)
         ]
         for fingerprint in guilty:
             self._hold(fingerprint, now_s + self._poison.quarantine_s)
@@ -109,18 +109,18 @@
             for fingerprint in guilty
         ]
 
-    def answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Note that an upstream answered this content whole."""
         self._answered[fingerprint] = None
         self._answered.move_to_end(fingerprint)
         if len(self._answered) > ANSWERED_MAX:
             self._answered.popitem(last=False)
 
-    def heard(self, message: Quarantined, now_s: float) -> None:
+    def apply_quarantine(self, message: Quarantined, now_s: float) -> None:
         """Take over a verdict of another daemon."""
         self._hold(message.fingerprint, now_s + message.ttl_s)
 
-    def quarantined(self, fingerprint: str, now_s: float) -> bool:
+    def is_quarantined(self, fingerprint: str, now_s: float) -> bool:
         """Return whether this content is refused."""
         return now_s < self._quarantined_until_s.get(fingerprint, now_s)
 
@@ -153,7 +153,7 @@
             for crash_id, crash in self._crashes.items()
             if fingerprint in crash.fingerprints
             and not any(
-                self.quarantined(each, now_s)
+                self.is_quarantined(each, now_s)
                 for each in crash.fingerprints
                 if each != fingerprint
             )
--- a/lavenderspoke/assembly.py
+++ b/lavenderspoke/reassembly.py
@@ -6,10 +6,10 @@
 
 
 @attrs.define(kw_only=True)
-class Assembly:
+class ReassemblyBuffer:
     """An assembly passes pieces on in order, each once.
 
-    >>> whole = Assembly()
+    >>> whole = ReassemblyBuffer()
     >>> second = Piece(request_id="r", number=1, body=b"b")
     >>> whole.add(second), whole.has_gap
     ([], True)
@@ -37,7 +37,7 @@
         return ready
 
 
-def is_whole(last: Piece) -> bool:
+def is_complete(last: Piece) -> bool:
     """Return whether a last piece's count agrees with its place.
 
     A clean end with a wrong count would pass a cut answer off as a whole one.
--- a/lavenderspoke/reports.py
+++ b/lavenderspoke/reports.py
@@ -50,7 +50,7 @@
             "service": view.announce.service,
             "upstream": view.announce.upstream,
             "data_centre": view.announce.data_centre,
-            "leaving": not view.takes_work,
+            "leaving": not view.accepts_work,
             "room": view.announce.room,
             "running": view.announce.running,
             "straggling": view.announce.straggling,
--- a/lavenderspoke/retrybudget.py
+++ b/lavenderspoke/retrybudget.py
@@ -30,8 +30,8 @@
 
     >>> allowance = RetryAllowance(budget=RetryBudget(ratio=0.5, per_s_min=0.0))
     >>> for _ in range(4):
-    ...     allowance.first_try(0.0)
-    >>> [allowance.spend(0.0) for _ in range(3)]
+    ...     allowance.record_first_attempt(0.0)
+    >>> [allowance.try_spend(0.0) for _ in range(3)]
     [True, True, False]
     """
 
@@ -50,12 +50,12 @@
         self._balance += added_per_s * TIME_CONSTANT_S
         self._budget = budget
 
-    def first_try(self, now_s: float) -> None:
+    def record_first_attempt(self, now_s: float) -> None:
         """Count a first try."""
         self._fade(now_s)
         self._balance += self._budget.ratio
 
-    def spend(self, now_s: float) -> bool:
+    def try_spend(self, now_s: float) -> bool:
         """Take one retry, or return False when there is none left."""
         self._fade(now_s)
         if self._balance < 1.0:
@@ -63,7 +63,7 @@
         self._balance -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Count back one retry that was taken and not sent."""
         self._balance += 1.0
 
--- a/lavenderspoke/servicemessages.py
+++ b/lavenderspoke/servicemessages.py
@@ -6,7 +6,7 @@
 
 from lavenderspoke import messages
 from lavenderspoke.core import Count, Send
-from lavenderspoke.makingroom import MakingRoom
+from lavenderspoke.dropping import RequestDropper
 from lavenderspoke.model import InstanceId
 from lavenderspoke.servicestate import ServiceState
 from lavenderspoke.views import AgentViews, PeerViews
@@ -19,7 +19,7 @@
     services: dict[str, ServiceState]
     agents: AgentViews
     peers: PeerViews
-    room: MakingRoom
+    room: RequestDropper
 
     @functools.singledispatchmethod
     def take(self, message: object, sender: InstanceId, now_s: float) -> list:
@@ -33,7 +33,7 @@
         if state is None or view is None:
             return []
         upstream = view.announce.upstream
-        if state.sketch.apply(sender, message, upstream=upstream):
+        if state.sketch.apply_event(sender, message, upstream=upstream):
             return []
         return [Count(name="prefix_gaps", reason=message.service)]
 
@@ -43,7 +43,7 @@
         if state is None:
             return []
         actions = []
-        for verdict in state.crashes.crashed(message, now_s):
+        for verdict in state.crashes.record_crash(message, now_s):
             actions += self._quarantine(verdict)
             actions += [
                 Send(recipient=peer, message=verdict) for peer in self.peers.ids()
@@ -55,13 +55,13 @@
         state = self.services.get(message.service)
         if state is None:
             return []
-        state.crashes.heard(message, now_s)
+        state.crashes.apply_quarantine(message, now_s)
         return self._quarantine(message)
 
     def _quarantine(self, verdict: messages.Quarantined) -> list:
         return [
             Count(name="quarantines", reason=verdict.service),
-            *self.room.content(verdict.service, verdict.fingerprint),
+            *self.room.drop_quarantined(verdict.service, verdict.fingerprint),
         ]
 
     @take.register
@@ -69,12 +69,12 @@
         state = self.services.get(message.service)
         if state is None:
             return []
-        return self.room.carry_out(state.floors.heard_floor(sender, message, now_s))
+        return self.room.apply(state.floors.on_floor(sender, message, now_s))
 
     @take.register
     def _(self, message: messages.FloorHeld, sender, now_s) -> list:
         state = self.services.get(message.service)
         if state is None:
             return []
-        state.floors.heard_held(sender, message, now_s)
-        return self.room.make_room(state, now_s)
+        state.floors.on_floor_held(sender, message, now_s)
+        return self.room.shed_excess(state, now_s)
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -3,16 +3,16 @@
 from random import Random
 
 from lavenderspoke.admission import Admission
-from lavenderspoke.affinity import PrefixSketch
-from lavenderspoke.demand import DemandTeller
+from lavenderspoke.affinity import PrefixIndex
+from lavenderspoke.demand import DemandNotifier
 from lavenderspoke.dispatching import EntryPolicy
 from lavenderspoke.documents.service import Service
-from lavenderspoke.drain import DrainRate
+from lavenderspoke.drainrate import DrainRate
 from lavenderspoke.messages import Grant, Pull, PullDone
 from lavenderspoke.model import InstanceId
-from lavenderspoke.poison import CrashLedger
+from lavenderspoke.poison import CrashHistory
 from lavenderspoke.retrybudget import RetryAllowance
-from lavenderspoke.shedding import FloorKeeper
+from lavenderspoke.shedding import FloorCoordinator
 from lavenderspoke.tracked import Tracked
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import WaitingQueue, WaitingRequest, cost_tokens
@@ -43,10 +43,10 @@
         self.queue = WaitingQueue(service=service, policy=policy.queue)
         self.admission = Admission(service=service, random=random)
         self.drain = DrainRate()
-        self.floors = FloorKeeper(service=service, instance=me)
-        self.demand = DemandTeller(service=service.name)
-        self.sketch = PrefixSketch(entries_max=SKETCH_ENTRIES_MAX)
-        self.crashes = CrashLedger(service=service.name, poison=service.poison)
+        self.floors = FloorCoordinator(service=service, instance=me)
+        self.demand = DemandNotifier(service=service.name)
+        self.sketch = PrefixIndex(entries_max=SKETCH_ENTRIES_MAX)
+        self.crashes = CrashHistory(service=service.name, poison=service.poison)
         self.retries = RetryAllowance(budget=service.retry_budget)
 
     def configure(self, service: Service, version: int, now_s: float) -> None:
@@ -75,7 +75,7 @@
     def put_back(self, tracked: Tracked, now_s: float) -> dict[str, int]:
         """Let a request wait again that was granted and did not run."""
         warm = self.warm(tracked)
-        self.queue.put_back(self._waiting(tracked, warm), now_s)
+        self.queue.requeue(self._waiting(tracked, warm), now_s)
         return warm
 
     def _waiting(self, tracked: Tracked, warm: dict[str, int]) -> WaitingRequest:
@@ -84,7 +84,7 @@
             arrived_s=tracked.arrived_s,
             deadline_s=tracked.deadline_s,
             stamp=tracked.stamp,
-            warm=warm,
+            cached_tokens=warm,
         )
 
     def retry_after_s(self, rank: int, now_s: float) -> float:
@@ -93,7 +93,7 @@
 
     def below_floor(self, rank: int, now_s: float) -> bool:
         """Return whether a floor in force keeps this tier out."""
-        floor = self.floors.floor(now_s)
+        floor = self.floors.floor_rank(now_s)
         return floor is not None and rank < floor
 
     def is_full(self) -> bool:
@@ -127,7 +127,7 @@
             victim = self.queue.lowest_victim(ANY_RANK)
             rank = victim.call.tier
             if self.policy.service_wide_shedding:
-                actions += self.floors.want_room(rank, now_s, peers)
+                actions += self.floors.request_floor(rank, now_s, peers)
                 allowed = self.floors.may_drop(rank, now_s)
                 if not (allowed or is_forced or self.is_overfull()):
                     break
@@ -160,7 +160,7 @@
         if request is None:
             return None
         if self.policy.queue.tiers and request.call.tier < rank_min:
-            self.queue.put_back(request, now_s)
+            self.queue.requeue(request, now_s)
             return None
         self._drained(request, now_s)
         return request
@@ -170,7 +170,9 @@
 
     def _drained(self, request: WaitingRequest, now_s: float) -> None:
         call = request.call
-        self.drain.granted(call.tier, cost_tokens(call), now_s, self.queue.counts())
+        self.drain.record_grant(
+            call.tier, cost_tokens(call), now_s, self.queue.counts()
+        )
 
     def _grant(self, request: WaitingRequest, nonce: str, now_s: float) -> Grant:
         return Grant(
@@ -186,7 +188,7 @@
             # Nothing that waits at these tiers is for this agent now; it would
             # only ask again at once, without end. The next demand tells it.
             waiting = {r: n for r, n in waiting.items() if r < pull.rank_min}
-        self.demand.knows(view.agent, waiting)
+        self.demand.record_notified(view.agent, waiting)
         return PullDone(
             service=pull.service,
             nonce=pull.nonce,
--- a/lavenderspoke/shedding.py
+++ b/lavenderspoke/shedding.py
@@ -9,8 +9,8 @@
 
 The floor is a lease. The holder measures it from before it announced, the
 peers from when they heard, so it ends at the holder first: while the holder
-still drops, every peer still refuses what is lower. `HOLDER_PART` leaves room
-for clocks that run at unlike speeds.
+still drops, every peer still refuses what is lower. `HOLDER_LEASE_SHARE` leaves
+room for clocks that run at unlike speeds.
 
 What is not guaranteed. A peer counts as gone when its heartbeat lapses or when
 it hasn't answered for `ANSWER_WAIT_S`. If it lives on the other side of a
@@ -30,9 +30,9 @@
 from lavenderspoke.messages import Floor, FloorHeld
 from lavenderspoke.model import InstanceId
 
-LEASE_S = 2.0
+FLOOR_LEASE_S = 2.0
 # The part of the lease that the holder uses; it renews after RENEW_PART.
-HOLDER_PART = 0.9
+HOLDER_LEASE_SHARE = 0.9
 RENEW_PART = 0.5
 # A peer that hasn't answered is asked again, and at last counts as gone.
 RESEND_S = 0.1
@@ -69,7 +69,7 @@
         )
 
 
-class FloorKeeper:
+class FloorCoordinator:
     """One entry's part in the floors of one service.
 
     `instance` is this entry. The methods return actions: `Send`, and
@@ -93,7 +93,7 @@
         """Put another document in force."""
         self._service = service
 
-    def want_room(
+    def request_floor(
         self, rank: int, now_s: float, peers: frozenset[InstanceId] | set[InstanceId]
     ) -> list[DropBelow | Send]:
         """Ask for the right to drop work of a rank, and keep it while asked.
@@ -133,7 +133,7 @@
             rank=rank, now_s=now_s, peers=self._peers
         )
 
-    def heard_floor(
+    def on_floor(
         self, sender: InstanceId, message: Floor, now_s: float
     ) -> list[DropBelow | Send]:
         """Hold a peer's floor, drop what is below it, and say so."""
@@ -148,14 +148,16 @@
             Send(recipient=sender, message=held),
         ]
 
-    def heard_held(self, sender: InstanceId, message: FloorHeld, now_s: float) -> None:
+    def on_floor_held(
+        self, sender: InstanceId, message: FloorHeld, now_s: float
+    ) -> None:
         """Note that a peer holds this entry's floor."""
         self._owing_since_s.pop(sender, None)
         if self._asked is not None and self._asked.number == message.round:
             self._asked.missing.discard(sender)
             self._settle()
 
-    def peer_lost(self, name: str) -> None:
+    def on_peer_lost(self, name: str) -> None:
         """Note that a peer's heartbeat lapsed: nothing waits in it any more."""
         self._peers = {peer for peer in self._peers if peer.name != name}
         if self._asked is not None:
@@ -168,7 +170,7 @@
             if peer.name != name
         }
 
-    def floor(self, now_s: float) -> int | None:
+    def floor_rank(self, now_s: float) -> int | None:
         """Return the rank below which arrivals are refused, or None.
 
         It holds too for a request that comes back from a refused or revoked
@@ -201,7 +203,7 @@
     def _fresh(self, asked: _Round | None, rank: int, now_s: float) -> bool:
         if asked is None or asked.tier < rank or not self._peers <= asked.members:
             return False
-        renew_s = asked.began_s + LEASE_S * RENEW_PART
+        renew_s = asked.began_s + FLOOR_LEASE_S * RENEW_PART
         return now_s < (asked.until_s if asked.missing else renew_s)
 
     def _announce(self, rank: int, now_s: float) -> list[DropBelow | Send]:
@@ -211,7 +213,7 @@
             number=self._number,
             began_s=now_s,
             sent_s=now_s,
-            until_s=now_s + LEASE_S * HOLDER_PART,
+            until_s=now_s + FLOOR_LEASE_S * HOLDER_LEASE_SHARE,
             missing=set(self._peers),
             members=set(self._peers),
         )
@@ -247,7 +249,7 @@
 
     def _sends(self, number: int, rank: int, peers: set[InstanceId]) -> list[Send]:
         message = Floor(
-            service=self._service.name, tier=rank, round=number, lease_s=LEASE_S
+            service=self._service.name, tier=rank, round=number, lease_s=FLOOR_LEASE_S
         )
         return [
             Send(recipient=peer, message=message)
--- a/lavenderspoke/tracked.py
+++ b/lavenderspoke/tracked.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from lavenderspoke.assembly import Assembly
 from lavenderspoke.gateway import Arrival
 from lavenderspoke.model import Call, InstanceId
+from lavenderspoke.reassembly import ReassemblyBuffer
 from lavenderspoke.resend import ResendRound
 
 
@@ -49,7 +49,7 @@
     heard_s: float = 0.0
     asked_s: float = 0.0
     head_given: bool = False
-    assembly: Assembly = attrs.field(factory=Assembly)
+    assembly: ReassemblyBuffer = attrs.field(factory=ReassemblyBuffer)
 
     @property
     def call(self) -> Call:
@@ -132,7 +132,7 @@
         tracked.run_id = run_id
         tracked.heard_s = now_s
         tracked.asked_s = now_s
-        tracked.assembly = Assembly()
+        tracked.assembly = ReassemblyBuffer()
         self._by_run.setdefault(run_id, set()).add(tracked.request_id)
 
     def _unfollow(self, tracked: Tracked) -> None:
--- a/lavenderspoke/views.py
+++ b/lavenderspoke/views.py
@@ -20,7 +20,7 @@
     listed_leaving: bool = False
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether it may be granted anything."""
         return not (self.announce.leaving or self.listed_leaving)
 
@@ -38,12 +38,14 @@
 class AgentViews:
     """The agents that have announced themselves lately."""
 
-    lost_s: float
+    silence_timeout_s: float
     _views: dict[str, AgentView] = attrs.field(factory=dict)
     _incarnations: dict[str, list[str]] = attrs.field(factory=dict)
     _leaving: frozenset[str] = frozenset()
 
-    def heard(self, agent: InstanceId, announce: Announce, now_s: float) -> bool:
+    def record_announcement(
+        self, agent: InstanceId, announce: Announce, now_s: float
+    ) -> bool:
         """Take an announcement; return whether the incarnation is a new one."""
         known = self._incarnations.setdefault(agent.name, [])
         is_new = agent.incarnation not in known
@@ -60,7 +62,7 @@
             )
         return is_new
 
-    def listed_leaving(self, names: frozenset[str]) -> None:
+    def set_listed_leaving(self, names: frozenset[str]) -> None:
         """Note which agents the platform's list says are leaving."""
         self._leaving = names
         for view in self._views.values():
@@ -71,11 +73,11 @@
         view = self._views.get(agent.name)
         return view if view is not None and view.agent == agent else None
 
-    def present(self, name: str) -> AgentView | None:
+    def current(self, name: str) -> AgentView | None:
         """Return the view of whatever incarnation lives now."""
         return self._views.get(name)
 
-    def of(self, service: str) -> list[AgentView]:
+    def for_service(self, service: str) -> list[AgentView]:
         """Return the agents of a service."""
         return [v for v in self._views.values() if v.announce.service == service]
 
@@ -83,9 +85,13 @@
         """Return every agent."""
         return list(self._views.values())
 
-    def expire(self, now_s: float) -> list[AgentView]:
+    def remove_silent(self, now_s: float) -> list[AgentView]:
         """Forget the agents that have fallen silent, and return them."""
-        silent = [v for v in self._views.values() if now_s - v.heard_s > self.lost_s]
+        silent = [
+            v
+            for v in self._views.values()
+            if now_s - v.heard_s > self.silence_timeout_s
+        ]
         for view in silent:
             del self._views[view.agent.name]
         return silent
@@ -95,10 +101,12 @@
 class PeerViews:
     """The other entries that have announced themselves lately."""
 
-    lost_s: float
+    silence_timeout_s: float
     _views: dict[str, PeerView] = attrs.field(factory=dict)
 
-    def heard(self, entry: InstanceId, announce: EntryAnnounce, now_s: float) -> bool:
+    def record_announcement(
+        self, entry: InstanceId, announce: EntryAnnounce, now_s: float
+    ) -> bool:
         """Take an announcement; return whether the incarnation is new."""
         view = self._views.get(entry.name)
         self._views[entry.name] = PeerView(
@@ -110,12 +118,12 @@
         """Return the incarnations of the live entries."""
         return {view.entry for view in self._views.values()}
 
-    def expire(self, now_s: float) -> list[InstanceId]:
+    def remove_silent(self, now_s: float) -> list[InstanceId]:
         """Forget the entries that have fallen silent, and return them."""
         silent = [
             view.entry
             for view in self._views.values()
-            if now_s - view.heard_s > self.lost_s
+            if now_s - view.heard_s > self.silence_timeout_s
         ]
         for entry in silent:
             del self._views[entry.name]
--- a/lavenderspoke/waiting.py
+++ b/lavenderspoke/waiting.py
@@ -26,15 +26,15 @@
     """A request that waits in this entry, its only copy.
 
     Times are on the entry's monotonic clock. `stamp` is the roster offset
-    folded when it arrived. `warm` maps upstream name to the prompt tokens whose
-    prefix it is believed to hold; it is a hint, read when the request is added.
+    folded when it arrived. `cached_tokens` maps upstream name to the prompt tokens
+    whose prefix it is believed to hold; it is a hint, read when the request is added.
     """
 
     call: Call
     arrived_s: float
     deadline_s: float
     stamp: int = 0
-    warm: dict[str, int] = attrs.field(factory=dict)
+    cached_tokens: dict[str, int] = attrs.field(factory=dict)
 
 
 @attrs.frozen(kw_only=True)
@@ -47,7 +47,7 @@
     affinity: bool = True
 
 
-STRICT = QueuePolicy()
+DEFAULT_QUEUE_POLICY = QueuePolicy()
 WITHOUT_AFFINITY = QueuePolicy(affinity=False)
 FIFO = QueuePolicy(tiers=False, fair=False, size_aware=False, affinity=False)
 
@@ -69,7 +69,7 @@
     `reconfigure`, which touch each request that they move.
     """
 
-    def __init__(self, *, service: Service, policy: QueuePolicy = STRICT):
+    def __init__(self, *, service: Service, policy: QueuePolicy = DEFAULT_QUEUE_POLICY):
         self._service = service
         self._policy = policy
         self._number = 0
@@ -89,7 +89,7 @@
         """Take a request in."""
         self._insert(request)
 
-    def put_back(self, request: WaitingRequest, now_s: float) -> None:
+    def requeue(self, request: WaitingRequest, now_s: float) -> None:
         """Take a request in again whose grant was refused or revoked.
 
         Its place comes from its arrival, and its customer's charge is given
@@ -111,7 +111,7 @@
     def take(self, now_s: float, *, upstream: str) -> WaitingRequest | None:
         """Take out the request that goes next to an upstream.
 
-        Those past their deadline stay for `expired`.
+        Those past their deadline stay for `pop_expired`.
         """
         prefixes = self._service.prefixes if self._policy.affinity else None
         for rank in sorted(self._tiers, reverse=True):
@@ -134,7 +134,7 @@
         """Return the lowest rank that waits here."""
         return min(self.counts(), default=None)
 
-    def ahead_tokens(self, rank: int) -> int:
+    def backlog_tokens(self, rank: int) -> int:
         """Return the cost that waits at a rank and above."""
         return sum(cost for each, cost in self._costs.items() if each >= rank)
 
@@ -142,7 +142,7 @@
         """Return the earliest deadline."""
         return self._deadlines[0][0] if self._deadlines else None
 
-    def expired(self, now_s: float) -> list[WaitingRequest]:
+    def pop_expired(self, now_s: float) -> list[WaitingRequest]:
         """Take out those whose deadline has come."""
         gone = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
@@ -235,7 +235,7 @@
             deadline_s=request.deadline_s,
             order_s=place_s,
             number=number,
-            warm=dict(request.warm) if self._policy.affinity else {},
+            warm=dict(request.cached_tokens) if self._policy.affinity else {},
         )
 
     def _tier_of(self, item: Item) -> TierQueue:
