--- a/features/linedrive.py
+++ b/features/linedrive.py
@@ -1,4 +1,4 @@
-"""A line of the direct scheduler with callers and upstreams, on a clock of its own."""
+"""Simulates callers and upstreams of a direct scheduler's queue, on its own clock."""
 
 import heapq
 import itertools
@@ -14,9 +14,9 @@
     "highest": (0, 0),
     "middle": (0, 1),
     "lowest": (0, 2),
-    "highest of others": (1, 0),
-    "middle of others": (1, 1),
-    "lowest of others": (1, 2),
+    "second customer's highest": (1, 0),
+    "second customer's middle": (1, 1),
+    "second customer's lowest": (1, 2),
 }
 ANSWER_TOKENS = 50
 TICK_S = 0.02
@@ -25,24 +25,24 @@
 
 @attrs.define(kw_only=True)
 class Request:
-    """A request of the drive, over all its tries."""
+    """A simulated request over all its attempts."""
 
     rank: str
     answer_tokens: int
     hold_s: float
     target_s: float
-    first_s: float
+    first_arrived_s: float
     deadline_s: float
-    began_s: float | None = None
-    held_in_line_s: float = 0.0
-    waiting_since_s: float = 0.0
-    tries: int = 0
+    dispatched_s: float | None = None
+    queued_s: float = 0.0
+    queued_at_s: float = 0.0
+    attempts: int = 0
 
 
 class Drive:
-    """Plays arrivals, answers and one return of each refused caller."""
+    """Simulates arrivals, answers and one retry by each refused caller."""
 
-    def __init__(self, *, upstreams: int, places: int):
+    def __init__(self, *, upstreams: int, slots: int):
         self.now_s = 0.0
         self.peers = PeerCounts()
         self.scheduler = Scheduler(
@@ -55,15 +55,15 @@
                 host="127.0.0.1",
                 port=1 + n,
                 data_centre="here",
-                slots=places,
+                slots=slots,
             )
             for n in range(upstreams)
         ]
         self.scheduler.reconfigure(tuple(self.upstreams), 0.0)
-        self.line = self.scheduler.queue(SERVICE)
+        self.queue = self.scheduler.queue(SERVICE)
         self.requests: list[Request] = []
         self.refused: list[tuple[Request, Refuse]] = []
-        self.most_at_one = 0
+        self.most_running = 0
         self._events: list = []
         self._numbers = itertools.count()
         self._random = Random(11)
@@ -72,7 +72,7 @@
         heapq.heappush(self._events, (when_s, next(self._numbers), work))
 
     def arrivals(self, row, seconds: float) -> None:
-        """Plan requests at random moments, in clumps of three."""
+        """Schedule requests at random times, in groups of three."""
         per_s = float(row["requests"])
         at_s = 0.0
         while at_s < seconds:
@@ -82,50 +82,52 @@
                     answer_tokens=int(row.get("answer tokens", ANSWER_TOKENS)),
                     hold_s=float(row["hold s"]),
                     target_s=float(row["target s"]),
-                    first_s=at_s,
+                    first_arrived_s=at_s,
                     deadline_s=at_s + float(row["deadline s"]),
                 )
                 self.requests.append(request)
-                self.at(at_s, lambda each=request: self.come(each))
+                self.at(at_s, lambda each=request: self.arrive(each))
             at_s += self._random.expovariate(per_s / 3)
 
-    def come(self, request: Request) -> None:
-        request.tries += 1
-        request.waiting_since_s = self.now_s
+    def arrive(self, request: Request) -> None:
+        request.attempts += 1
+        request.queued_at_s = self.now_s
         ticket = Ticket(
-            request_id=f"{id(request)}.{request.tries}",
+            request_id=f"{id(request)}.{request.attempts}",
             service=SERVICE,
             rank=RANKS[request.rank],
             prompt_tokens=1000,
             answer_tokens=request.answer_tokens,
-            first_arrived_s=request.first_s,
+            first_arrived_s=request.first_arrived_s,
             idle_since_s=self.now_s,
             deadline_s=request.deadline_s,
             target_s=request.target_s,
             patience_s=request.deadline_s - self.now_s,
-            resubmitted=request.tries > 1,
+            resubmitted=request.attempts > 1,
             on_decision=lambda decision: None,
         )
-        ticket.on_decision = lambda decision: self.decided(request, ticket, decision)
-        self.line.submit(ticket, self.now_s)
+        ticket.on_decision = lambda decision: self.handle_decision(
+            request, ticket, decision
+        )
+        self.queue.submit(ticket, self.now_s)
 
-    def decided(self, request: Request, ticket: Ticket, decision) -> None:
-        request.held_in_line_s = self.now_s - request.waiting_since_s
+    def handle_decision(self, request: Request, ticket: Ticket, decision) -> None:
+        request.queued_s = self.now_s - request.queued_at_s
         if isinstance(decision, Dispatch):
-            request.began_s = self.now_s
+            request.dispatched_s = self.now_s
             upstream_id = decision.upstream.upstream_id
-            seat = self.line.pool.state_of(upstream_id)
-            self.most_at_one = max(self.most_at_one, len(seat.own_requests))
+            state = self.queue.pool.state_of(upstream_id)
+            self.most_running = max(self.most_running, len(state.own_requests))
             hold_s = self._random.expovariate(1 / request.hold_s)
             self.at(
                 self.now_s + hold_s,
-                lambda: self.line.release(ticket, upstream_id, self.now_s),
+                lambda: self.queue.release(ticket, upstream_id, self.now_s),
             )
             return
         self.refused.append((request, decision))
-        if request.tries == 1:
+        if request.attempts == 1:
             back_s = self.now_s + decision.retry_after_s
-            self.at(back_s, lambda: self.come(request))
+            self.at(back_s, lambda: self.arrive(request))
 
     def run(self, seconds: float) -> None:
         end_s = self.now_s + seconds
@@ -156,5 +158,5 @@
             on_decision=decisions.append,
         )
         ticket = Ticket(**(fields | changes))
-        self.line.submit(ticket, self.now_s)
+        self.queue.submit(ticket, self.now_s)
         return ticket, decisions
--- a/features/steps/contended_steps.py
+++ b/features/steps/contended_steps.py
@@ -1,4 +1,4 @@
-"""Steps about places that the callers of many entries wait for."""
+"""Steps about slots for which requests wait at many entries."""
 
 from random import Random
 
@@ -10,13 +10,13 @@
 from lavenderspoke.direct.tickets import Dispatch, Ticket
 
 RANK = (0, 0)
-PLACES = 5
-UPSTREAM = upstream_of("u", slots=PLACES)
-TIMES = 40
+SLOTS = 5
+UPSTREAM = upstream_of("u", slots=SLOTS)
+RUNS = 40
 
 
-class Waiting:
-    """One entry's line, full of its callers, as others' requests hold the places."""
+class WaitingEntry:
+    """One entry's queue with waiting requests, while peers' requests hold the slots."""
 
     def __init__(
         self,
@@ -25,17 +25,17 @@
         requests: int,
         seed: int,
         own: int = 0,
-        in_line: int | None = None,
+        waiting: int | None = None,
     ):
         random = Random(seed)
-        self.line = ServiceQueue(pool=Pool(random=random), random=random)
-        self.line.pool.reconfigure([UPSTREAM])
+        self.queue = ServiceQueue(pool=Pool(random=random), random=random)
+        self.queue.pool.reconfigure([UPSTREAM])
         self.sent: list[Ticket] = []
         self.running = [self.submit(f"running-{n}") for n in range(own)]
-        self.hear(running=PLACES - own)
+        self.set_peer_requests(running=SLOTS - own)
         others = {RANK: (entries - 1) * requests} if entries > 1 else {}
-        self.line.peer_counts = PeerCounts(waiting=others, entries=entries - 1)
-        for number in range(requests if in_line is None else in_line):
+        self.queue.peer_counts = PeerCounts(waiting=others, entries=entries - 1)
+        for number in range(requests if waiting is None else waiting):
             self.submit(f"waiting-{number}")
         self.sent.clear()
 
@@ -53,80 +53,80 @@
             patience_s=60.0,
             resubmitted=False,
             may_wait=may_wait,
-            on_decision=lambda decision: self._decided(ticket, decision),
+            on_decision=lambda decision: self._handle_decision(ticket, decision),
         )
-        self.line.submit(ticket, 0.0)
+        self.queue.submit(ticket, 0.0)
         return ticket
 
-    def _decided(self, ticket: Ticket, decision) -> None:
+    def _handle_decision(self, ticket: Ticket, decision) -> None:
         if isinstance(decision, Dispatch):
             self.sent.append(ticket)
 
-    def hear(self, *, running: int) -> None:
-        """Learn how many requests of the other entries run at the upstream."""
-        self.line.pool.update_peer_loads({"u": Load(requests=running)})
+    def set_peer_requests(self, *, running: int) -> None:
+        """Set how many requests of the other entries run at the upstream."""
+        self.queue.pool.update_peer_loads({"u": Load(requests=running)})
 
 
-def lines(context, seed: int, own: int = 0) -> list[Waiting]:
+def waiting_entries(context, seed: int, own: int = 0) -> list[WaitingEntry]:
     entries, requests = context.size
     return [
-        Waiting(entries=entries, requests=requests, seed=seed * 1000 + n, own=own)
+        WaitingEntry(entries=entries, requests=requests, seed=seed * 1000 + n, own=own)
         for n in range(entries)
     ]
 
 
-@given("{entries:d} entries with {requests:d} requests each in line, for 5 places")
-@given("{entries:d} entry with {requests:d} requests each in line, for 5 places")
+@given("{entries:d} entries with {requests:d} waiting requests each, for 5 slots")
+@given("{entries:d} entry with {requests:d} waiting requests each, for 5 slots")
 def step_entries(context, entries, requests):
     context.size = entries, requests
 
 
-@when("all learn in the same instant that {running:d} run there")
+@when("all learn at the same instant that {running:d} requests run there")
 def step_learn(context, running):
     context.sent = []
-    for seed in range(TIMES):
-        waiting = lines(context, seed)
+    for seed in range(RUNS):
+        waiting = waiting_entries(context, seed)
         for each in waiting:
-            each.hear(running=running)
-            each.line.dispatch_waiting(0.1)
+            each.set_peer_requests(running=running)
+            each.queue.dispatch_waiting(0.1)
         context.sent.append(sum(len(each.sent) for each in waiting))
 
 
-@then("in the mean of 40 times at most {most:d} requests are sent")
-def step_at_most(context, most):
-    assert sum(context.sent) / TIMES <= most, context.sent
+@then("on average over 40 runs, at most {max_sent:d} requests are sent")
+def step_at_most(context, max_sent):
+    assert sum(context.sent) / RUNS <= max_sent, context.sent
 
 
-@then("in the mean of 40 times at least {least:d} request is sent")
-def step_at_least(context, least):
-    assert sum(context.sent) / TIMES >= least, context.sent
+@then("on average over 40 runs, at least {min_sent:d} request is sent")
+def step_at_least(context, min_sent):
+    assert sum(context.sent) / RUNS >= min_sent, context.sent
 
 
 @when("a request of one of them ends there")
 def step_own_ends(context):
-    context.entry = lines(context, seed=1, own=1)[0]
-    context.entry.line.release(context.entry.running[0], "u", 0.1)
+    context.entry = waiting_entries(context, seed=1, own=1)[0]
+    context.entry.queue.release(context.entry.running[0], "u", 0.1)
 
 
-@then("it sends the next one at once, and only that")
+@then("it sends the next one at once, and no other")
 def step_next_one(context):
     assert len(context.entry.sent) == 1, context.entry.sent
 
 
-@when("one with {own:d} in line learns that {running:d} run there")
+@when("one with {own:d} waiting requests learns that {running:d} requests run there")
 def step_one_learns(context, own, running):
-    context.own_in_line, context.running = own, running
+    context.own_waiting, context.running = own, running
 
 
-@when("it has a request that may not wait")
+@when("it gets a request that may not wait")
 def step_may_not_wait(context):
     entries, requests = context.size
     context.urgent = []
-    for seed in range(TIMES):
-        entry = Waiting(
-            entries=entries, requests=requests, seed=seed, in_line=context.own_in_line
+    for seed in range(RUNS):
+        entry = WaitingEntry(
+            entries=entries, requests=requests, seed=seed, waiting=context.own_waiting
         )
-        entry.hear(running=context.running)
+        entry.set_peer_requests(running=context.running)
         ticket = entry.submit("urgent", may_wait=False)
         context.urgent.append(ticket in entry.sent)
 
--- a/features/steps/direct_line_steps.py
+++ b/features/steps/direct_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the scheduler of direct dispatch, on a clock of their own."""
+"""Steps about the scheduler of direct dispatch, on a manual clock."""
 
 from collections import Counter
 
@@ -12,25 +12,25 @@
 from lavenderspoke.direct.tickets import Dispatch, Refusal, Refuse
 
 
-@given("a line before {upstreams:d} upstreams of {places:d} places")
-@given("a line before {upstreams:d} upstream of {places:d} places")
-@given("a line before {upstreams:d} upstreams of {places:d} place")
-@given("a line before {upstreams:d} upstream of {places:d} place")
-def step_line(context, upstreams, places):
-    context.places = places
-    context.drive = Drive(upstreams=upstreams, places=places)
+@given("a queue for {upstreams:d} upstreams of {slots:d} slots")
+@given("a queue for {upstreams:d} upstream of {slots:d} slots")
+@given("a queue for {upstreams:d} upstreams of {slots:d} slot")
+@given("a queue for {upstreams:d} upstream of {slots:d} slot")
+def step_queue(context, upstreams, slots):
+    context.slots = slots
+    context.drive = Drive(upstreams=upstreams, slots=slots)
 
 
-@given("a peer has {count:d} requests of a higher rank in line")
+@given("a peer has {count:d} waiting requests of a higher rank")
 def step_peer(context, count):
-    # The lower rank holds more than what it is guaranteed.
+    # The lower rank holds more slots than it is guaranteed.
     for _ in range(6):
         context.drive.ticket(rank=RANKS["lowest"])
     context.drive.peers = PeerCounts(waiting={RANKS["highest"]: count}, entries=1)
     context.drive.scheduler.tick(0.0)
 
 
-@when("for {seconds:d} s there come each second")
+@when("these requests arrive per second for {seconds:d} s")
 def step_arrivals(context, seconds):
     for row in context.table:
         context.drive.arrivals(row, seconds)
@@ -45,38 +45,41 @@
     return [each for each in context.drive.requests if each.rank == rank]
 
 
-@then("at least {part:d} in 100 of the {rank} rank begin within their target")
-def step_on_time(context, part, rank):
-    assert_on_time(of_rank(context, rank), part)
+@then("at least {percent:d}% of the {rank} rank are dispatched within their target")
+def step_on_time(context, percent, rank):
+    assert_on_time(of_rank(context, rank), percent)
 
 
-@then("of answers of {tokens:d} tokens at least {part:d} in 100 begin within target")
-def step_length_on_time(context, tokens, part):
-    assert_on_time(of_length(context, tokens), part)
+@then(
+    "at least {percent:d}% of the requests for {tokens:d} tokens are dispatched on "
+    "time"
+)
+def step_length_on_time(context, tokens, percent):
+    assert_on_time(of_length(context, tokens), percent)
 
 
-@then("of answers of {tokens:d} tokens at least {part:d} in 100 are served")
-def step_length_served(context, tokens, part):
-    assert_served(of_length(context, tokens), part)
+@then("at least {percent:d}% of the requests for {tokens:d} tokens are dispatched")
+def step_length_served(context, tokens, percent):
+    assert_dispatched(of_length(context, tokens), percent)
 
 
-def served_part(requests: list[Request]) -> float:
-    return sum(each.began_s is not None for each in requests) / len(requests)
+def dispatched_share(requests: list[Request]) -> float:
+    return sum(each.dispatched_s is not None for each in requests) / len(requests)
 
 
 @then(
-    "answers of {tokens:d} tokens are served at least half as often as all of the "
-    "{rank} rank"
+    "requests for {tokens:d} tokens are dispatched at least half as often as all of "
+    "the {rank} rank"
 )
 def step_half_as_often(context, tokens, rank):
-    long, every = of_length(context, tokens), of_rank(context, rank)
-    assert served_part(long) >= served_part(every) / 2, (
-        served_part(long),
-        served_part(every),
+    long, each_of_rank = of_length(context, tokens), of_rank(context, rank)
+    assert dispatched_share(long) >= dispatched_share(each_of_rank) / 2, (
+        dispatched_share(long),
+        dispatched_share(each_of_rank),
     )
 
 
-@when("{count:d} requests of a rank came that say nothing of their length")
+@when("{count:d} requests without an expected answer length arrive")
 def step_without_length(context, count):
     lengths = AnswerLengths()
     context.counted_long = []
@@ -85,64 +88,71 @@
         lengths.record_arrival(0)
 
 
-@then("none of them counted as long")
+@then("none of them counts as long")
 def step_none_long(context):
     assert not any(context.counted_long), context.counted_long
 
 
-def assert_served(requests: list[Request], part: int) -> None:
-    served = [each for each in requests if each.began_s is not None]
-    assert 100 * len(served) >= part * len(requests), (len(served), len(requests))
+def assert_dispatched(requests: list[Request], percent: int) -> None:
+    dispatched = [each for each in requests if each.dispatched_s is not None]
+    assert 100 * len(dispatched) >= percent * len(requests), (
+        len(dispatched),
+        len(requests),
+    )
 
 
-def assert_on_time(requests: list[Request], part: int) -> None:
+def assert_on_time(requests: list[Request], percent: int) -> None:
     on_time = [
         each
         for each in requests
-        if each.began_s is not None and each.began_s <= each.first_s + each.target_s
+        if each.dispatched_s is not None
+        and each.dispatched_s <= each.first_arrived_s + each.target_s
     ]
-    assert 100 * len(on_time) >= part * len(requests), (len(on_time), len(requests))
+    assert 100 * len(on_time) >= percent * len(requests), (len(on_time), len(requests))
 
 
-@then("at least {part:d} in 100 of the {rank} rank are served")
-def step_served(context, part, rank):
-    assert_served(of_rank(context, rank), part)
+@then("at least {percent:d}% of the {rank} rank are dispatched")
+def step_served(context, percent, rank):
+    assert_dispatched(of_rank(context, rank), percent)
 
 
-@then("who is refused has waited no longer than {part:d} in 100 of its target")
-def step_waited(context, part):
+@then(
+    "refused first attempts below the highest rank waited at most {percent:d}% of "
+    "their target"
+)
+def step_waited(context, percent):
     for request, decision in context.drive.refused:
-        if request.tries == 1 and request.rank != "highest":
-            most_s = request.target_s * part / 100
-            assert request.held_in_line_s <= most_s, (request, decision)
+        if request.attempts == 1 and request.rank != "highest":
+            max_s = request.target_s * percent / 100
+            assert request.queued_s <= max_s, (request, decision)
 
 
-@then("no more run at an upstream than it has places")
+@then("no upstream runs more requests than it has slots")
 def step_places(context):
-    assert context.drive.most_at_one <= context.places
+    assert context.drive.most_running <= context.slots
 
 
-@then("nobody is refused or waits")
+@then("no request is refused or waits")
 def step_nobody(context):
     assert not context.drive.refused
-    assert all(each.held_in_line_s == 0.0 for each in context.drive.requests)
+    assert all(each.queued_s == 0.0 for each in context.drive.requests)
 
 
-@when("one runs, and a newcomer and one that came back wait")
+@when("one request runs, and a new one and a resubmitted one wait")
 def step_two_wait(context):
     drive = context.drive
     running, _ = drive.ticket()
-    _, context.newcomer = drive.ticket()
-    _, context.returned = drive.ticket(resubmitted=True)
-    drive.line.release(running, "u0", drive.now_s)
+    _, context.new = drive.ticket()
+    _, context.resubmitted = drive.ticket(resubmitted=True)
+    drive.queue.release(running, "u0", drive.now_s)
 
 
-@then("the one that came back goes next")
-def step_returned_next(context):
-    assert len(context.returned) == 1 and not context.newcomer
+@then("the resubmitted one is dispatched next")
+def step_resubmitted_next(context):
+    assert len(context.resubmitted) == 1 and not context.new
 
 
-@when("a request of a lower rank comes")
+@when("a request of a lower rank arrives")
 def step_lower(context):
     _, context.decisions = context.drive.ticket(rank=RANKS["lowest"])
 
@@ -152,62 +162,64 @@
     assert context.decisions == []
 
 
-@when("a request comes that was sent to the first before")
+@when("a request arrives that was sent to the first upstream before")
 def step_excluded(context):
     _, context.decisions = context.drive.ticket(excluded={"u0"})
 
 
-@when("a request comes that may not wait")
+@when("a request arrives that may not wait")
 def step_may_not_wait(context):
     _, context.decisions = context.drive.ticket(may_wait=False)
 
 
-@when("a request comes whose caller has seen nothing for as long as it waits")
+@when("a request arrives whose caller's patience has run out")
 def step_caller_waited(context):
     drive = context.drive
     idle_since_s = drive.now_s - 2.0
     _, context.decisions = drive.ticket(idle_since_s=idle_since_s, patience_s=2.0)
 
 
-@when("one runs for {seconds:g} s, and another one waits meanwhile")
+@when("one request runs for {seconds:g} s while another one waits")
 def step_long_wait(context, seconds):
     drive = context.drive
     running, _ = drive.ticket()
     _, context.decisions = drive.ticket(deadline_s=60.0, patience_s=60.0)
-    drive.line.release(running, "u0", drive.now_s + seconds)
+    drive.queue.release(running, "u0", drive.now_s + seconds)
 
 
-@then("the one that waited runs")
+@then("the waiting one is dispatched")
 def step_waited_runs(context):
     step_first(context)
 
 
-@then("it is refused at once")
-def step_refused_at_once(context):
+@then("it is refused immediately")
+def step_refused_immediately(context):
     (decision,) = context.decisions
     assert isinstance(decision, Refuse), decision
 
 
-@then("it goes to the first")
+@then("it is sent to the first upstream")
 def step_first(context):
     (decision,) = context.decisions
     assert isinstance(decision, Dispatch), decision
     assert decision.upstream.upstream_id == "u0"
 
 
-@then("it goes to the second")
+@then("it is sent to the second upstream")
 def step_second(context):
     (decision,) = context.decisions
     assert decision.upstream.upstream_id == "u1"
 
 
-@given("the first takes {first:d} ms a step and the second {second:d} ms")
-def step_paces(context, first, second):
-    for upstream_id, pace_ms in (("u0", first), ("u1", second)):
-        context.drive.line.pool.state_of(upstream_id).health.record_step(pace_ms / 1000)
+@given("the first upstream takes {first:d} ms per step and the second {second:d} ms")
+def step_step_times(context, first, second):
+    for upstream_id, step_ms in (("u0", first), ("u1", second)):
+        context.drive.queue.pool.state_of(upstream_id).health.record_step(
+            step_ms / 1000
+        )
 
 
-@when("the second is taken, and a long prompt and a short one come")
+@when("the second upstream is full, and a long and a short prompt arrive")
 def step_long_and_short(context):
     drive = context.drive
     context.running, _ = drive.ticket(excluded={"u0"})
@@ -215,48 +227,51 @@
     _, context.short = drive.ticket(prompt_tokens=500)
 
 
-@then("the short one goes to the first, and the long one to the second when it is free")
+@then(
+    "the short one is sent to the first, and the long one to the second once it is "
+    "free"
+)
 def step_long_second(context):
     (decision,) = context.short
     assert decision.upstream.upstream_id == "u0"
     assert context.long == []
-    context.drive.line.release(context.running, "u1", context.drive.now_s)
+    context.drive.queue.release(context.running, "u1", context.drive.now_s)
     (decision,) = context.long
     assert decision.upstream.upstream_id == "u1"
 
 
-@when("{count:d} prompts of {tokens:d} tokens were read at {pace:d} tokens a step")
-def step_read(context, count, tokens, pace):
+@when("{count:d} prompts of {tokens:d} tokens are read at {rate:d} tokens per step")
+def step_read(context, count, tokens, rate):
     drive = context.drive
     for _ in range(count):
         ticket, decisions = drive.ticket(prompt_tokens=tokens)
         (decision,) = decisions
         upstream_id = decision.upstream.upstream_id
-        steps = tokens / pace + 1
-        drive.now_s += drive.line.pool.state_of(upstream_id).step_s() * steps
-        drive.line.record_first_event(ticket, upstream_id, drive.now_s)
-        drive.line.release(ticket, upstream_id, drive.now_s)
-    context.pace = pace
+        steps = tokens / rate + 1
+        drive.now_s += drive.queue.pool.state_of(upstream_id).step_s() * steps
+        drive.queue.record_first_event(ticket, upstream_id, drive.now_s)
+        drive.queue.release(ticket, upstream_id, drive.now_s)
+    context.rate = rate
 
 
-@then(
-    "a prompt of {tokens:d} tokens is expected to be read within {part:d} in 100 "
-    "of that pace"
-)
-def step_expected(context, tokens, part):
-    learned = context.drive.line.pool.prefill_rate.tokens_per_step
-    assert abs(learned - context.pace) <= context.pace * part / 100, learned
+@then("the prefill rate expected for {tokens:d} tokens is within {percent:d}% of that")
+def step_expected(context, tokens, percent):
+    learned = context.drive.queue.pool.prefill_rate.tokens_per_step
+    assert abs(learned - context.rate) <= context.rate * percent / 100, learned
 
 
-@then("with the second taken, a prompt of {tokens:d} tokens goes to the first at once")
-def step_at_once(context, tokens):
+@then(
+    "with the second full, a prompt of {tokens:d} tokens is sent to the first "
+    "immediately"
+)
+def step_first_immediately(context, tokens):
     context.drive.ticket(excluded={"u0"})
     _, decisions = context.drive.ticket(prompt_tokens=tokens)
     (decision,) = decisions
     assert decision.upstream.upstream_id == "u0"
 
 
-@when("the upstream is leaving and a request comes")
+@when("the upstream is leaving and a request arrives")
 def step_leaving(context):
     drive = context.drive
     (upstream,) = drive.upstreams
@@ -264,7 +279,7 @@
     _, context.decisions = drive.ticket()
 
 
-@then("it is refused because no upstream is there")
+@then("it is refused because there is no upstream")
 def step_none(context):
     (decision,) = context.decisions
     assert decision.reason is Refusal.NO_UPSTREAM
@@ -272,11 +287,11 @@
 
 @when("the upstream can't be reached")
 def step_unreachable(context):
-    seat = context.drive.line.pool.state_of("u0")
-    seat.health.record_unreachable(context.drive.now_s)
+    state = context.drive.queue.pool.state_of("u0")
+    state.health.record_unreachable(context.drive.now_s)
 
 
-@then("nothing is sent there for a while, and then one request at a time")
+@then("nothing is sent there during the suspension, and then one request at a time")
 def step_trial(context):
     drive = context.drive
     decisions = [drive.ticket()[1] for _ in range(3)]
@@ -287,38 +302,40 @@
     context.sent = sent
 
 
-@when("that one is answered")
+@when("that request is answered")
 def step_answered(context):
     drive = context.drive
-    seat = drive.line.pool.state_of("u0")
-    seat.health.record_success()
-    seat.own_requests.clear()
+    state = drive.queue.pool.state_of("u0")
+    state.health.record_success()
+    state.own_requests.clear()
     drive.run(0.1)
 
 
-@then("it takes as many as it has places again")
+@then("all its slots can be used again")
 def step_all_again(context):
-    assert len(context.drive.line.pool.state_of("u0").own_requests) == 2
-    assert context.drive.line.pool.free_slots(context.drive.now_s) == 2
+    assert len(context.drive.queue.pool.state_of("u0").own_requests) == 2
+    assert context.drive.queue.pool.free_slots(context.drive.now_s) == 2
 
 
-@when("{count:d} requests with {left_s:f} s left come at once")
-def step_many_at_once(context, count, left_s):
+@when("{count:d} requests with {remaining_s:f} s left arrive at once")
+def step_many_at_once(context, count, remaining_s):
     drive = context.drive
-    decisions = [drive.ticket(deadline_s=left_s, target_s=0.4) for _ in range(count)]
-    drive.run(left_s)
+    decisions = [
+        drive.ticket(deadline_s=remaining_s, target_s=0.4) for _ in range(count)
+    ]
+    drive.run(remaining_s)
     context.refusals = [
         each for _, made in decisions for each in made if isinstance(each, Refuse)
     ]
 
 
-@then("each refusal names between {least_s:f} s and {most_s:f} s")
-def step_retry_after(context, least_s, most_s):
+@then("each refusal on arrival has a Retry-After between {min_s:f} s and {max_s:f} s")
+def step_retry_after(context, min_s, max_s):
     assert context.refusals
     early = [each for each in context.refusals if each.reason is Refusal.CROWDED]
     assert early
     for each in early:
-        assert least_s <= each.retry_after_s <= most_s, each
+        assert min_s <= each.retry_after_s <= max_s, each
 
 
 def catalog_of(*ranks: int) -> Catalog:
@@ -337,92 +354,92 @@
     return Catalog(version=1, routes=(), services={}, customers=customers)
 
 
-@given("customers of the ranks {first:d} and {second:d}")
+@given("customers of rank {first:d} and rank {second:d}")
 def step_customers(context, first, second):
     context.catalog = catalog_of(first, second)
 
 
-@then("a request without a key ranks as {rank:d}, and a customer's as its own")
+@then(
+    "a request without a key has rank {rank:d}, and a customer's has the customer's "
+    "rank"
+)
 def step_rank_without_key(context, rank):
     assert context.catalog.rank_of(None) == rank
     for customer in context.catalog.customers:
         assert context.catalog.rank_of(customer) == customer.rank
 
 
-@then("with no customers at all it ranks as {rank:d}")
+@then("without any customers it has rank {rank:d}")
 def step_rank_alone(context, rank):
     assert catalog_of().rank_of(None) == rank
 
 
-@when("other upstreams are found at the addresses of {count:d} of them")
-def step_found_others(context, count):
-    context.gone = {f"u{n}" for n in range(count)}
-    for upstream_id in context.gone:
-        context.drive.line.pool.evict(upstream_id, context.drive.now_s)
+@when("{count:d} of them are replaced by other upstreams at their addresses")
+def step_replaced(context, count):
+    context.evicted = {f"u{n}" for n in range(count)}
+    for upstream_id in context.evicted:
+        context.drive.queue.pool.evict(upstream_id, context.drive.now_s)
 
 
-@when("{count:d} requests come, one each {every_ms:d} ms")
-def step_come_evenly(context, count, every_ms):
+@when("{count:d} requests arrive, one every {every_ms:d} ms")
+def step_arrive_evenly(context, count, every_ms):
     context.sent_to = set()
     for _ in range(count):
         ticket, (decision,) = context.drive.ticket()
         upstream_id = decision.upstream.upstream_id
         context.sent_to.add(upstream_id)
         context.drive.run(every_ms / 1000.0)
-        context.drive.line.release(ticket, upstream_id, context.drive.now_s)
+        context.drive.queue.release(ticket, upstream_id, context.drive.now_s)
 
 
-@when(
-    "{seconds:d} s have passed, and {count:d} requests come, one each {every_ms:d} ms"
-)
+@when("{seconds:d} s later {count:d} requests arrive, one every {every_ms:d} ms")
 def step_later(context, seconds, count, every_ms):
     context.drive.run(float(seconds))
-    step_come_evenly(context, count, every_ms)
+    step_arrive_evenly(context, count, every_ms)
 
 
 @then("none is sent to these {count:d}")
 def step_none_to_these(context, count):
-    assert not context.sent_to & context.gone, context.sent_to
+    assert not context.sent_to & context.evicted, context.sent_to
 
 
 @then("some are sent to these {count:d}")
 def step_some_to_these(context, count):
-    assert context.sent_to & context.gone, context.sent_to
+    assert context.sent_to & context.evicted, context.sent_to
 
 
 @given("one of them is faster than all others")
 def step_one_faster(context):
     for number, upstream in enumerate(context.drive.upstreams):
-        seat = context.drive.line.pool.state_of(upstream.upstream_id)
-        seat.health.record_step(0.005 if number == 7 else 0.02)
+        state = context.drive.queue.pool.state_of(upstream.upstream_id)
+        state.health.record_step(0.005 if number == 7 else 0.02)
 
 
-@when("{count:d} entries that hear of each other {age_s:g} s late send a request each")
+@when("{count:d} entries whose reports are {age_s:g} s old send a request each")
 def step_entries_choose(context, count, age_s):
     context.drive.peers = PeerCounts(entries=count - 1, age_s=age_s)
     context.drive.scheduler.tick(0.0)
     context.chosen = Counter()
     for _ in range(count):
-        # Each entry has had ten requests in the last second, and knows nothing of
-        # what the others send now.
+        # Each request stands for one entry, which doesn't know what the others send.
         ticket, (decision,) = context.drive.ticket()
         context.chosen[decision.upstream.upstream_id] += 1
         upstream_id = decision.upstream.upstream_id
-        context.drive.line.release(ticket, upstream_id, context.drive.now_s)
+        context.drive.queue.release(ticket, upstream_id, context.drive.now_s)
 
 
-@then("no upstream gets more of them than it has places")
+@then("no upstream gets more of them than it has slots")
 def step_spread_out(context):
     most = max(context.chosen.values())
-    assert most <= context.places, context.chosen.most_common(3)
+    assert most <= context.slots, context.chosen.most_common(3)
 
 
-@when("requests come one by one, each after the end of the one before")
+@when("requests arrive one by one, each after the end of the previous one")
 def step_one_by_one(context):
     step_entries_choose(context, 1, 0.0)
-    step_come_evenly(context, 20, 100)
+    step_arrive_evenly(context, 20, 100)
 
 
-@then("all go to the fastest")
+@then("all are sent to the fastest upstream")
 def step_all_fastest(context):
     assert context.sent_to == {"u7"}, context.sent_to
--- a/lavenderspoke/direct/decoderate.py
+++ b/lavenderspoke/direct/decoderate.py
@@ -1,30 +1,30 @@
-"""How many tokens of an answer a service's engines write in a step."""
+"""How many tokens of an answer a service's engines write per step."""
 
 import attrs
 
-# Tokens written in the time between two events, before any answer was seen.
+# Tokens written per step before any answer was measured.
 TOKENS_PER_STEP_INITIAL = 4.0
-# Weight of all answers before the newest one: some two hundred count. Answers differ
-# in length by a hundred times, so that fewer would leave the longest too much say.
-KEPT = 0.995
-# Answers are believed from so many tokens on, in all.
-BELIEVED_TOKENS = 2000.0
-# No engine writes fewer or more tokens in a step, whatever was seen.
+# Weight of all earlier answers at each new one: about two hundred count. The lengths of
+# answers differ a hundredfold, so that with fewer the longest would weigh too much.
+DECAY = 0.995
+# Decayed sum of tokens from which on the measurement is used.
+TOKENS_MIN = 2000.0
+# Bounds of the estimate: no engine writes fewer or more tokens per step.
 TOKENS_PER_STEP_RANGE = (1.0, 256.0)
 
 
 @attrs.define(kw_only=True)
 class DecodeRate:
-    """Tokens of an answer that are written between two events of a stream.
+    """Answer tokens that are written per step, the time between two events.
 
-    Learned from whole streams: what was expected of each against the events that it
-    had. Where callers expect too much or too little throughout, that is learned with
-    it, and a time that follows from expected tokens is right all the same.
+    Estimated from complete streams: the tokens that the caller expected against the
+    events that came. Where callers systematically expect too much or too little, the
+    estimate includes that, so that times derived from expected tokens are still right.
 
-    >>> pace = DecodeRate()
+    >>> rate = DecodeRate()
     >>> for _ in range(20):
-    ...     pace.record(tokens=400, steps=50)
-    >>> pace.tokens_per_step
+    ...     rate.record(tokens=400, steps=50)
+    >>> rate.tokens_per_step
     8.0
     """
 
@@ -33,15 +33,15 @@
 
     @property
     def tokens_per_step(self) -> float:
-        """The pace, or the initial one until enough was seen."""
-        if self._tokens < BELIEVED_TOKENS or self._steps <= 0.0:
+        """The estimate, or the initial one until enough was measured."""
+        if self._tokens < TOKENS_MIN or self._steps <= 0.0:
             return TOKENS_PER_STEP_INITIAL
-        least, most = TOKENS_PER_STEP_RANGE
-        return min(max(self._tokens / self._steps, least), most)
+        rate_min, rate_max = TOKENS_PER_STEP_RANGE
+        return min(max(self._tokens / self._steps, rate_min), rate_max)
 
     def record(self, *, tokens: int, steps: int) -> None:
-        """Count a whole stream of so many events, of which so much was expected."""
+        """Record the expected tokens and the events of a complete stream."""
         if tokens <= 0:
             return
-        self._tokens = self._tokens * KEPT + tokens
-        self._steps = self._steps * KEPT + steps
+        self._tokens = self._tokens * DECAY + tokens
+        self._steps = self._steps * DECAY + steps
--- a/lavenderspoke/direct/lengths.py
+++ b/lavenderspoke/direct/lengths.py
@@ -1,34 +1,34 @@
-"""How often a rank's longest answers are served, against all of its answers.
+"""How often the longest answers of a rank are served, compared with all its answers.
 
-Short answers go before long ones of their rank while capacity is short. By that alone
-callers of the longest would hardly ever be served, however long the shortage lasts.
+While capacity is short, short answers go before long ones of their rank. By that alone,
+the longest would hardly ever be served for as long as the shortage lasts.
 """
 
 import attrs
 
-# The part of a rank's requests that counts as long.
-LONG_PART = 0.1
-# Long answers are served so many times as often as all of their rank, at least.
-SERVED_TIMES = 0.6
-# Weight of all requests before the newest: some fifty count.
-KEPT = 0.98
-# By what part of itself the length from which answers are long moves at a request.
-LENGTH_STEP = 0.05
+# Share of a rank's requests that count as long.
+LONG_SHARE = 0.1
+# Long answers are served at least this many times as often as all of their rank.
+LONG_SERVED_RATIO_MIN = 0.6
+# Weight of all earlier requests at each new one: about fifty count.
+DECAY = 0.98
+# Share by which the threshold of long answers moves per request.
+THRESHOLD_STEP_SHARE = 0.05
 
 
 @attrs.define(kw_only=True)
 class _Counts:
-    came: float = 0.0
-    served: float = 0.0
+    arrived: float = 0.0
+    dispatched: float = 0.0
 
-    def fade(self) -> None:
-        self.came *= KEPT
-        self.served *= KEPT
+    def decay(self) -> None:
+        self.arrived *= DECAY
+        self.dispatched *= DECAY
 
 
 @attrs.define(kw_only=True)
 class AnswerLengths:
-    """What came and was served of one rank lately.
+    """Recent arrivals and dispatches of one rank.
 
     >>> lengths = AnswerLengths()
     >>> for tokens in [10] * 18 + [500, 500]:
@@ -38,38 +38,40 @@
     (True, False, True)
     """
 
-    _long_from_tokens: float = 0.0
+    _long_threshold_tokens: float = 0.0
     _all: _Counts = attrs.field(factory=_Counts)
     _long: _Counts = attrs.field(factory=_Counts)
 
     def record_arrival(self, tokens: int) -> None:
-        """Count a request that asks for the first time."""
-        self._all.fade()
-        self._long.fade()
-        self._all.came += 1.0
-        self._long.came += self.is_long(tokens)
-        self._follow(tokens)
+        """Count a request that its caller sends for the first time."""
+        self._all.decay()
+        self._long.decay()
+        self._all.arrived += 1.0
+        self._long.arrived += self.is_long(tokens)
+        self._update_threshold(tokens)
 
     def record_dispatch(self, tokens: int) -> None:
         """Count a request that was sent to an upstream."""
-        self._all.served += 1.0
-        self._long.served += self.is_long(tokens)
+        self._all.dispatched += 1.0
+        self._long.dispatched += self.is_long(tokens)
 
     def is_long(self, tokens: int) -> bool:
-        """Return whether an answer is one of the longest of the rank."""
-        return tokens > self._long_from_tokens
+        """Return whether an answer is among the longest of the rank."""
+        return tokens > self._long_threshold_tokens
 
     def is_long_underserved(self) -> bool:
         """Return whether long answers are served too rarely."""
-        due = SERVED_TIMES * self._all.served * self._long.came
-        return self._long.served * self._all.came < due
+        dispatched_min = (
+            LONG_SERVED_RATIO_MIN * self._all.dispatched * self._long.arrived
+        )
+        return self._long.dispatched * self._all.arrived < dispatched_min
 
-    def _follow(self, tokens: int) -> None:
-        """Move the length above which that part of the requests lies."""
-        step_tokens = max(1.0, self._long_from_tokens * LENGTH_STEP)
+    def _update_threshold(self, tokens: int) -> None:
+        """Move the threshold towards what `LONG_SHARE` of the requests exceed."""
+        step_tokens = max(1.0, self._long_threshold_tokens * THRESHOLD_STEP_SHARE)
         if self.is_long(tokens):
-            self._long_from_tokens += step_tokens * (1.0 - LONG_PART)
+            self._long_threshold_tokens += step_tokens * (1.0 - LONG_SHARE)
         else:
-            lower_tokens = self._long_from_tokens - step_tokens * LONG_PART
-            # Where nothing is said of lengths none is long.
-            self._long_from_tokens = max(0.0, lower_tokens)
+            lower_tokens = self._long_threshold_tokens - step_tokens * LONG_SHARE
+            # Requests without an expected length (0 tokens) are never long.
+            self._long_threshold_tokens = max(0.0, lower_tokens)
--- a/lavenderspoke/direct/prefillrate.py
+++ b/lavenderspoke/direct/prefillrate.py
@@ -1,30 +1,30 @@
-"""How fast a service's engines read prompts, learned from first events."""
+"""How fast a service's engines read prompts, estimated from first events."""
 
 import attrs
 
-# Prompt tokens read in the time between two events, before any were seen.
+# Prompt tokens read per step before any were measured.
 TOKENS_PER_STEP_INITIAL = 650.0
-# Weight of all before the newest first event: some fifty count.
-KEPT = 0.98
-# Seen prompts are believed from so many tokens on, in all: a few short ones say little
-# beside the noise of neighbours.
-BELIEVED_TOKENS = 20_000.0
-# No engine reads fewer or more tokens in a step, whatever was seen.
+# Weight of the earlier first events at each new one: about fifty count.
+DECAY = 0.98
+# Decayed sum of prompt tokens from which on the measurement is used: a few short
+# prompts say little beside the noise of concurrent requests.
+TOKENS_MIN = 20_000.0
+# Bounds of the estimate: no engine reads fewer or more tokens per step.
 TOKENS_PER_STEP_RANGE = (100.0, 20_000.0)
 
 
 @attrs.define(kw_only=True)
 class PrefillRate:
-    """Prompt tokens that are read in the time between two events of a stream.
+    """Prompt tokens that an engine reads per step, the time between two events.
 
-    Engines of a service are alike in this even where their speeds differ several
-    times: reading and writing slow down together. It is the slope of a line through
-    the origin, of tokens over steps, with old points fading.
+    A service's engines are alike in this even where their speeds differ several times,
+    since reading and writing slow down together. It is the slope of a regression line
+    through the origin, of tokens over steps, in which older points decay.
 
-    >>> pace = PrefillRate()
+    >>> rate = PrefillRate()
     >>> for _ in range(20):
-    ...     pace.record(tokens=5000.0, steps=2.0)
-    >>> round(pace.tokens_per_step)
+    ...     rate.record(tokens=5000.0, steps=2.0)
+    >>> round(rate.tokens_per_step)
     2500
     """
 
@@ -34,14 +34,14 @@
 
     @property
     def tokens_per_step(self) -> float:
-        """The pace, or the initial one until enough was seen."""
-        if self._tokens < BELIEVED_TOKENS or self._products <= 0.0:
+        """The estimate, or the initial one until enough was measured."""
+        if self._tokens < TOKENS_MIN or self._products <= 0.0:
             return TOKENS_PER_STEP_INITIAL
-        least, most = TOKENS_PER_STEP_RANGE
-        return min(max(self._squares / self._products, least), most)
+        rate_min, rate_max = TOKENS_PER_STEP_RANGE
+        return min(max(self._squares / self._products, rate_min), rate_max)
 
     def record(self, *, tokens: float, steps: float) -> None:
-        """Count a first event that came so many steps after the request was sent."""
-        self._tokens = self._tokens * KEPT + tokens
-        self._squares = self._squares * KEPT + tokens * tokens
-        self._products = self._products * KEPT + tokens * max(0.0, steps)
+        """Record the prompt tokens and the prefill steps before a first event."""
+        self._tokens = self._tokens * DECAY + tokens
+        self._squares = self._squares * DECAY + tokens * tokens
+        self._products = self._products * DECAY + tokens * max(0.0, steps)
--- a/lavenderspoke/direct/rankrates.py
+++ b/lavenderspoke/direct/rankrates.py
@@ -1,15 +1,15 @@
-"""How fast requests of each rank arrive at an entry and leave an upstream."""
+"""How fast requests of a rank arrive at an entry, and how long they hold a slot."""
 
 import math
 
 import attrs
 
-# Arrivals count for about so long, in seconds: long enough for a rate, short
-# enough to notice a burst while it lasts.
-ARRIVAL_S = 2.0
-# Time that a request holds its place, in seconds, before one has been seen.
+# Time constant of the arrival rate: long enough for a rate, short enough to notice a
+# burst while it lasts.
+ARRIVAL_TIME_CONSTANT_S = 2.0
+# Mean hold time of a slot before one was measured.
 HOLD_INITIAL_S = 0.4
-# Weight of the newest request in the mean time that a place is held.
+# Weight of the newest request in the mean hold time.
 HOLD_WEIGHT = 0.05
 
 
@@ -24,19 +24,21 @@
     """
 
     mean_hold_s: float = HOLD_INITIAL_S
-    _per_s: float = 0.0
-    _at_s: float = 0.0
+    _arrivals_per_s: float = 0.0
+    _updated_s: float = 0.0
 
     def record_arrival(self, now_s: float) -> None:
         """Count an arrival."""
-        self._per_s = self.arrivals_per_s(now_s) + 1.0 / ARRIVAL_S
-        self._at_s = now_s
+        self._arrivals_per_s = (
+            self.arrivals_per_s(now_s) + 1.0 / ARRIVAL_TIME_CONSTANT_S
+        )
+        self._updated_s = now_s
 
     def arrivals_per_s(self, now_s: float) -> float:
-        """Return the recent arrivals a second."""
-        elapsed_s = max(0.0, now_s - self._at_s)
-        return self._per_s * math.exp(-elapsed_s / ARRIVAL_S)
+        """Return the recent arrivals per second."""
+        elapsed_s = max(0.0, now_s - self._updated_s)
+        return self._arrivals_per_s * math.exp(-elapsed_s / ARRIVAL_TIME_CONSTANT_S)
 
     def record_hold(self, hold_s: float) -> None:
-        """Count a place that was held for that long."""
+        """Record how long a slot was held."""
         self.mean_hold_s += (hold_s - self.mean_hold_s) * HOLD_WEIGHT
--- a/lavenderspoke/direct/tickets.py
+++ b/lavenderspoke/direct/tickets.py
@@ -1,6 +1,6 @@
-"""Requests in line, and what is decided on them.
+"""Requests in a queue, and the decisions on them.
 
-All times are seconds on the clock of the scheduler's caller.
+All times are in seconds on the clock of the scheduler's caller.
 """
 
 import enum
@@ -11,16 +11,16 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.pool import LatencyEstimate
 
-# The part of its target that a request waits at most, so that its first byte
-# can still come on time.
-ON_TIME_PART = 0.7
+# Share of its target that a request waits at most, so that its first byte can still
+# be on time.
+ON_TIME_WAIT_SHARE = 0.7
 
 Rank = tuple[int, int]
-"""The customer's rank, then the route's; the smallest goes first."""
+"""The customer's rank and the route's rank; the smallest goes first."""
 
 
 class Refusal(enum.Enum):
-    """Why a request is refused before it was sent to any upstream."""
+    """Why a request is refused before it is sent to an upstream."""
 
     CROWDED = "crowded"
     WAITED_TOO_LONG = "waited_too_long"
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refuse:
-    """Refuse the request; it has not run and never will."""
+    """Refuse the request: it hasn't run and won't run."""
 
     reason: Refusal
     retry_after_s: float
@@ -47,18 +47,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Ticket:
-    """A request's place in line.
-
-    `target_s` counts from `first_s`, when its caller asked for the first time, and
-    `patience_s` from `quiet_since_s`, when it arrived or got the last event of its
-    stream: after so long without another one its caller leaves.
-    `excluded` holds upstreams it was sent to before; one that is `repeatable` may be
-    sent to another one after it failed. One that may not wait is decided
-    on before `submit` returns. Once it was sent, `outlook` is what it met there,
-    `expected_first_s` the time to its first byte and `expected_first_steps` the
-    upstream's steps until then; its first event came at `began_s`, and a whole stream
-    was of `events`. `decided` is called once with the
-    decision, under the scheduler's lock: it must not block.
+    """A request in a queue, and after its dispatch at an upstream.
+
+    `target_s` is counted from `first_arrived_s`, when the caller sent it first. The
+    caller gives up `patience_s` after `idle_since_s`, when the request arrived or
+    the last event of its stream came. `excluded` names upstreams that it was sent to
+    before. A `retryable` request may be sent to another upstream after it failed. One
+    without `may_wait` is decided before `submit` returns.
+
+    On dispatch, `estimate` is set together with the expected time and number of engine
+    steps until the first byte. `first_event_s` is when the first event arrived, and
+    `events` how many a complete stream had. `on_decision` is called once, under the
+    scheduler's lock, so it must not block.
     """
 
     request_id: str
@@ -89,5 +89,5 @@
 
     @property
     def on_time_until_s(self) -> float:
-        """Until when it may wait and still be answered on time."""
-        return self.first_arrived_s + self.target_s * ON_TIME_PART
+        """The time until which it may wait and still be answered on time."""
+        return self.first_arrived_s + self.target_s * ON_TIME_WAIT_SHARE
