--- a/features/direct_crashes.feature
+++ b/features/direct_crashes.feature
@@ -1,22 +1,22 @@
 Feature: A request that crashes each upstream that runs it
-  Broken answers alone prove nothing: connections are reset and answers get lost.
+  A broken answer alone proves nothing: connections are reset and answers get lost.
 
-  Scenario: The same content comes again and again
-    Its upstream crashes each time. After two crashes the content is refused, also
-    by an entry that saw neither; a bystander that was there once is not.
-    Given two entries that watch for crashes
-    When content "culprit" breaks at "u1" beside "bystander", and "u1" is found dead
-    And content "culprit" breaks at "u2" beside "other", and "u2" is found dead
+  Scenario: The same content is sent again and again
+    Its upstream crashes each time. After two crashes the content is refused, also by an
+    entry that detected neither; content that was running in only one of them is not.
+    Given two entries that detect crashes
+    When content "culprit" breaks at "u1" together with "bystander", and "u1" refuses connections
+    And content "culprit" breaks at "u2" together with "other", and "u2" refuses connections
     Then both entries refuse "culprit" and neither refuses "bystander" or "other"
 
-  Scenario: Answers are lost while the upstream lives
-    Given two entries that watch for crashes
-    When content "innocent" breaks at "u1" beside "other", and "u1" answers on
-    And content "innocent" breaks at "u2" beside "other", and "u2" answers on
+  Scenario: Answers are lost while the upstream is alive
+    Given two entries that detect crashes
+    When content "innocent" breaks at "u1" together with "other", and "u1" goes on answering
+    And content "innocent" breaks at "u2" together with "other", and "u2" goes on answering
     Then no entry refuses "innocent"
 
-  Scenario: An upstream dies long after an answer broke
-    Given two entries that watch for crashes
-    When content "innocent" breaks at "u1", and "u1" is found dead 10 s later
-    And content "innocent" breaks at "u2", and "u2" is found dead 10 s later
+  Scenario: An upstream crashes long after an answer broke
+    Given two entries that detect crashes
+    When content "innocent" breaks at "u1", and "u1" refuses connections 10 s later
+    And content "innocent" breaks at "u2", and "u2" refuses connections 10 s later
     Then no entry refuses "innocent"
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that fail more than the others of their service."""
+"""Steps about ejecting upstreams that fail more than the others of their service."""
 
 import heapq
 import itertools
@@ -18,25 +18,25 @@
 
 TICK_S = 0.02
 FAILS_AFTER_S = 0.002
-# When the failing upstream answers again, in seconds.
-SOUND_AGAIN_S = 7.0
+# When the failing upstream answers again.
+RECOVERY_S = 7.0
 
 
 @attrs.define(kw_only=True)
-class Failures:
-    """Plays requests at upstreams that fail a part of what they get."""
+class FailureSimulation:
+    """Simulates requests at upstreams that fail a share of them, by upstream ID."""
 
     upstreams: int
-    places: int
+    slots: int
     fails: dict[str, float]
     now_s: float = 0.0
     sent: int = 0
     failed: int = 0
     refused: int = 0
-    repeatable_part: float = 0.2
-    sent_late: set[str] = attrs.field(factory=set)
+    retryable_share: float = 0.2
+    sent_after_recovery: set[str] = attrs.field(factory=set)
     scheduler: Scheduler = attrs.field(init=False)
-    line: ServiceQueue = attrs.field(init=False)
+    queue: ServiceQueue = attrs.field(init=False)
     _events: list = attrs.field(factory=list)
     _numbers: itertools.count = attrs.field(factory=itertools.count)
     _random: Random = attrs.field(factory=lambda: Random(5))
@@ -45,16 +45,16 @@
         self.scheduler = Scheduler(random=Random(7))
         self.scheduler.reconfigure(
             tuple(
-                upstream_of(f"u{n}", slots=self.places) for n in range(self.upstreams)
+                upstream_of(f"u{n}", slots=self.slots) for n in range(self.upstreams)
             ),
             0.0,
         )
-        self.line = self.scheduler.queue(SERVICE)
+        self.queue = self.scheduler.queue(SERVICE)
 
-    def play(self, seconds: float, per_s: float, hold_s: float) -> None:
+    def run(self, seconds: float, per_s: float, hold_s: float) -> None:
         at_s = 0.0
         while (at_s := at_s + self._random.expovariate(per_s)) < seconds:
-            self._at(at_s, lambda: self._come(hold_s))
+            self._at(at_s, lambda: self._arrive(hold_s))
         for tick in range(round(seconds / TICK_S)):
             self._at(tick * TICK_S, lambda: self.scheduler.tick(self.now_s))
         while self._events:
@@ -64,7 +64,7 @@
     def _at(self, at_s: float, work) -> None:
         heapq.heappush(self._events, (at_s, next(self._numbers), work))
 
-    def _come(self, hold_s: float) -> None:
+    def _arrive(self, hold_s: float) -> None:
         ticket = Ticket(
             request_id=f"r{next(self._numbers)}",
             service=SERVICE,
@@ -77,91 +77,95 @@
             target_s=0.4,
             patience_s=2.0,
             resubmitted=False,
-            retryable=self._random.random() < self.repeatable_part,
-            on_decision=lambda decision: self._decided(ticket, decision, hold_s),
+            retryable=self._random.random() < self.retryable_share,
+            on_decision=lambda decision: self._handle_decision(
+                ticket, decision, hold_s
+            ),
         )
-        self.line.submit(ticket, self.now_s)
+        self.queue.submit(ticket, self.now_s)
 
-    def _decided(self, ticket: Ticket, decision, hold_s: float) -> None:
+    def _handle_decision(self, ticket: Ticket, decision, hold_s: float) -> None:
         if not isinstance(decision, Dispatch):
             self.refused += 1
             return
         name = decision.upstream.upstream_id
         self.sent += 1
-        if self.now_s > SOUND_AGAIN_S + 1.0:
-            self.sent_late.add(name)
+        if self.now_s > RECOVERY_S + 1.0:
+            self.sent_after_recovery.add(name)
         share = self.fails.get(name, 0.0)
-        if len(self.fails) == 1 and self.now_s >= SOUND_AGAIN_S:
+        if len(self.fails) == 1 and self.now_s >= RECOVERY_S:
             share = 0.0
         is_failure = self._random.random() < share
         self.failed += is_failure
         after_s = FAILS_AFTER_S if is_failure else hold_s
-        self._at(self.now_s + after_s, lambda: self._ended(ticket, name, is_failure))
+        self._at(self.now_s + after_s, lambda: self._end(ticket, name, is_failure))
 
-    def _ended(self, ticket: Ticket, name: str, is_failure: bool) -> None:
-        seat = self.line.pool.state_of(name)
+    def _end(self, ticket: Ticket, name: str, is_failure: bool) -> None:
+        state = self.queue.pool.state_of(name)
         if is_failure:
-            seat.health.record_failure()
-            self.line.pool.eject_if_outlier(seat, self.now_s)
+            state.health.record_failure()
+            self.queue.pool.eject_if_outlier(state, self.now_s)
         else:
-            seat.health.record_success()
-        self.line.release(ticket, name, self.now_s)
+            state.health.record_success()
+        self.queue.release(ticket, name, self.now_s)
 
 
-@given(
-    "a line before {count:d} upstreams of {places:d} places, of which 1 fails at once"
-)
-@given("a line before {count:d} upstream of {places:d} places, which fails at once")
-def step_one_fails(context, count, places):
-    context.failures = Failures(upstreams=count, places=places, fails={"u0": 1.0})
+@given("a queue for {count:d} upstreams of {slots:d} slots, of which 1 fails at once")
+@given("a queue for {count:d} upstream of {slots:d} slots, which fails at once")
+def step_one_fails(context, count, slots):
+    context.simulation = FailureSimulation(
+        upstreams=count, slots=slots, fails={"u0": 1.0}
+    )
 
 
 @given(
-    "a line before {count:d} upstreams of {places:d} places, of which each fails "
-    "{part:d} in 10"
+    "a queue for {count:d} upstreams of {slots:d} slots, each of which fails "
+    "{tenths:d} in 10"
 )
-def step_each_fails(context, count, places, part):
-    fails = {f"u{number}": part / 10 for number in range(count)}
-    context.failures = Failures(upstreams=count, places=places, fails=fails)
+def step_each_fails(context, count, slots, tenths):
+    fails = {f"u{number}": tenths / 10 for number in range(count)}
+    context.simulation = FailureSimulation(upstreams=count, slots=slots, fails=fails)
 
 
-@when("for {seconds:d} s there come {per_s:d} requests a second that take {ms:d} ms")
-def step_play(context, seconds, per_s, ms):
-    context.failures.play(float(seconds), float(per_s), ms / 1000)
+@when("{per_s:d} requests per second that take {ms:d} ms arrive for {seconds:d} s")
+def step_run(context, seconds, per_s, ms):
+    context.simulation.run(float(seconds), float(per_s), ms / 1000)
 
 
 @when(
-    "for {seconds:d} s there come {per_s:d} requests a second that run once and take "
-    "{ms:d} ms"
+    "{per_s:d} requests per second that aren't retryable and take {ms:d} ms arrive "
+    "for {seconds:d} s"
 )
-def step_play_once(context, seconds, per_s, ms):
-    context.failures.repeatable_part = 0.0
-    step_play(context, seconds, per_s, ms)
+def step_run_once(context, seconds, per_s, ms):
+    context.simulation.retryable_share = 0.0
+    step_run(context, seconds, per_s, ms)
 
 
-@then("at most {part:d} in 100 of them fail")
-def step_few_fail(context, part):
-    failures = context.failures
-    assert failures.failed * 100 <= failures.sent * part, (
-        failures.failed,
-        failures.sent,
+@then("at most {percent:d}% of them fail")
+def step_few_fail(context, percent):
+    simulation = context.simulation
+    assert simulation.failed * 100 <= simulation.sent * percent, (
+        simulation.failed,
+        simulation.sent,
     )
 
 
-@then("the failing one is tried again until it answers")
+@then("the failing upstream is tried again until it answers")
 def step_tried(context):
-    assert "u0" in context.failures.sent_late, context.failures.sent_late
+    assert (
+        "u0" in context.simulation.sent_after_recovery
+    ), context.simulation.sent_after_recovery
 
 
 @then("no request is refused")
 def step_none_refused(context):
-    assert context.failures.refused == 0, context.failures.refused
-    assert context.failures.sent > 0
+    assert context.simulation.refused == 0, context.simulation.refused
+    assert context.simulation.sent > 0
 
 
 @given(
-    "{count:d} entries in {data_centres:d} data centres, each before a service of "
-    "three upstreams"
+    "{count:d} entries in {data_centres:d} data centres, with a service of three "
+    "upstreams"
 )
 def step_entries(context, count, data_centres):
     context.clock = ManualClock()
@@ -181,31 +185,31 @@
     return entry.dispatcher._scheduler.queue(SERVICE).pool
 
 
-def tell_failing(context, *names: str) -> None:
-    """Have two entries of different data centres say that upstreams fail."""
-    for teller in context.entries[2:4]:
+def report_failing(context, *names: str) -> None:
+    """Have two entries of different data centres report upstreams as failing."""
+    for reporter in context.entries[2:4]:
         state = SharedState(
-            address=teller.whereabouts.address,
-            data_centre=teller.whereabouts.data_centre,
+            address=reporter.whereabouts.address,
+            data_centre=reporter.whereabouts.data_centre,
             number=1,
             failing=names,
         )
         for entry in context.entries[:2]:
-            sender = InstanceId(name=teller.me.name, incarnation="1")
+            sender = InstanceId(name=reporter.me.name, incarnation="1")
             entry.dispatcher.receive_state(sender, state)
 
 
-@when("an upstream has answered the first entry and two others say that it fails")
-def step_say_one(context):
+@when("an upstream has answered the first entry and two others report it as failing")
+def step_report_one(context):
     health = pool_of(context.entries[0]).state_of("u0").health
     for _ in range(10):
         health.record_success()
-    tell_failing(context, "u0")
+    report_failing(context, "u0")
 
 
-@when("two others say of all upstreams that they fail")
-def step_say_all(context):
-    tell_failing(context, "u0", "u1", "u2")
+@when("two others report all upstreams as failing")
+def step_report_all(context):
+    report_failing(context, "u0", "u1", "u2")
 
 
 def usable(entry: Entry, now_s: float) -> list[str]:
@@ -216,7 +220,7 @@
     ]
 
 
-@when("all that the first entry has running at an upstream breaks at once")
+@when("all requests of the first entry at an upstream break at once")
 def step_breaks(context):
     dispatcher = context.entries[0].dispatcher
     request = accepted_request(resumable=False, attempts_max=1)
@@ -231,7 +235,7 @@
     assert "u0" in usable(context.entries[0], 0.0)
 
 
-@then("an entry that doesn't know it leaves it alone for a while")
+@then("an entry that hasn't used it ejects it for a while")
 def step_leaves(context):
     assert "u0" not in usable(context.entries[1], 0.5)
     assert "u0" in usable(context.entries[1], 5.0)
--- a/lavenderspoke/direct/crashes.py
+++ b/lavenderspoke/direct/crashes.py
@@ -1,49 +1,53 @@
-"""Tells an upstream's crash from a lost answer, and who was running in it."""
+"""Detects upstream crashes, and which requests were running in them."""
 
 import attrs
 
 from lavenderspoke.poison import CrashEvidence, CrashHistory, QuarantinePolicy
 
-# Answers that broke within this time, in seconds, before an upstream was found
-# dead, broke because it died.
-BROKE_TOGETHER_S = 2.5
-# A request is refused after it was there in so many crashes: one may be chance.
-CRASHED_UPSTREAMS = 2
+# Answers that broke within this time before an upstream refused a connection broke
+# because it crashed.
+CRASH_WINDOW_S = 2.5
+# Crashed upstreams after which a request that ran there is refused: one may be chance.
+CRASHED_UPSTREAMS_MIN = 2
 QUARANTINE_S = 600.0
 
 
 @attrs.frozen(kw_only=True)
-class _Break:
+class _BrokenAnswer:
     fingerprint: str
     at_s: float
 
 
 class CrashDetector:
-    """The crashes that an entry has seen or was told of.
+    """The crashes that an entry has detected or received from others.
 
-    A broken answer alone proves nothing, since connections are reset and
-    answers get lost. Only when the upstream then refuses a connection, did it
-    crash, and what broke shortly before was running in it.
+    A broken answer alone proves nothing, since connections are reset and answers get
+    lost. Only if the upstream then refuses a connection did it crash, and the answers
+    that broke shortly before were running in it.
     """
 
     def __init__(self, *, own_name: str):
         self._own_name = own_name
         self._ledgers: dict[str, CrashHistory] = {}
-        self._broken: dict[str, list[_Break]] = {}
+        self._broken_answers: dict[str, list[_BrokenAnswer]] = {}
 
     def record_broken_answer(
         self, upstream_id: str, fingerprint: str, now_s: float
     ) -> None:
-        """Note an answer that broke off."""
-        kept = [b for b in self._broken.get(upstream_id, []) if _recent(b, now_s)]
-        self._broken[upstream_id] = kept + [_Break(fingerprint=fingerprint, at_s=now_s)]
+        """Record an answer that broke off."""
+        kept = [
+            b for b in self._broken_answers.get(upstream_id, []) if _is_recent(b, now_s)
+        ]
+        self._broken_answers[upstream_id] = kept + [
+            _BrokenAnswer(fingerprint=fingerprint, at_s=now_s)
+        ]
 
     def record_unreachable(
         self, service: str, upstream_id: str, now_s: float
     ) -> CrashEvidence | None:
-        """Note that an upstream refuses connections; return evidence to share."""
-        broken = self._broken.pop(upstream_id, [])
-        fingerprints = {b.fingerprint for b in broken if _recent(b, now_s)}
+        """Record that an upstream refuses connections; return evidence of a crash."""
+        broken = self._broken_answers.pop(upstream_id, [])
+        fingerprints = {b.fingerprint for b in broken if _is_recent(b, now_s)}
         if not fingerprints:
             return None
         evidence = CrashEvidence(
@@ -56,25 +60,25 @@
         return evidence
 
     def merge(self, evidence: CrashEvidence, now_s: float) -> None:
-        """Take in a crash that this or another entry saw."""
+        """Add a crash that this or another entry detected."""
         self._ledger(evidence.service).record_crash(evidence, now_s)
 
     def record_answer(self, service: str, fingerprint: str) -> None:
-        """Note that an upstream answered this content whole."""
+        """Record that an upstream answered this content completely."""
         self._ledger(service).record_answered(fingerprint)
 
     def is_quarantined(self, service: str, fingerprint: str, now_s: float) -> bool:
-        """Return whether this content is to be refused."""
+        """Return whether requests with this content are refused."""
         return self._ledger(service).is_quarantined(fingerprint, now_s)
 
     def _ledger(self, service: str) -> CrashHistory:
         if service not in self._ledgers:
             poison = QuarantinePolicy(
-                upstreams_threshold=CRASHED_UPSTREAMS, quarantine_s=QUARANTINE_S
+                upstreams_threshold=CRASHED_UPSTREAMS_MIN, quarantine_s=QUARANTINE_S
             )
             self._ledgers[service] = CrashHistory(service=service, poison=poison)
         return self._ledgers[service]
 
 
-def _recent(each: _Break, now_s: float) -> bool:
-    return now_s < each.at_s + BROKE_TOGETHER_S
+def _is_recent(each: _BrokenAnswer, now_s: float) -> bool:
+    return now_s < each.at_s + CRASH_WINDOW_S
--- a/lavenderspoke/direct/health.py
+++ b/lavenderspoke/direct/health.py
@@ -1,49 +1,48 @@
-"""What an entry's own requests say about an upstream's health.
+"""An upstream's health, as an entry's own requests show it.
 
-Health checks cost a slot and may lie in either direction, so only what became
-of real requests counts. An upstream that can't be reached or falls silent is
-left alone for a while that doubles, and then gets one trial request, not all
-that waits. One that answers but often fails is made less attractive, and left
-alone in the same way where the others fail less.
+Health checks occupy a slot and can be wrong in both directions, so only the outcomes of
+real requests count. An upstream that can't be reached or stops sending is suspended for
+a time that doubles, and then gets one trial request, not all that wait. One that
+answers but often fails is chosen less often, and ejected in the same way if the others
+fail less.
 """
 
 import attrs
 
-# How long an upstream is left alone after the first failure in a row, in
-# seconds; short, since most resets hit one connection and not the process.
+# Suspension after the first unreachable attempt in a row; short, since most resets
+# affect one connection and not the process.
 SUSPEND_MIN_S = 0.25
-# The longest suspension in seconds: a crashed engine is back after some seconds.
+# The longest suspension: a crashed engine is back after some seconds.
 SUSPEND_MAX_S = 2.0
-# How long one is left alone that fails more than the others, at first and at most, in
-# seconds.
-FAILING_MIN_S = 1.0
-FAILING_MAX_S = 4.0
-# How long it then waits for a request that may be repeated, in seconds; after that any
-# may be the first, since a service may have no others.
-REPEATABLE_ONLY_S = 4.0
-# Answers from which on an entry believes its own of an upstream more than others' word.
-KNOWN_MIN = 5
-# The share of failures below which an upstream is sound by them.
-SOUND_SHARE = 0.1
-# How long an upstream is left alone that others couldn't reach, in seconds: longer than
-# the longest suspension, after which one of those that found it away tries again.
-TOLD_S = 2.2
-# Weight of the newest outcome in the failure share: some ten requests count.
+# The first and the longest ejection of an upstream that fails more than the others.
+EJECTION_MIN_S = 1.0
+EJECTION_MAX_S = 4.0
+# For how long after an ejection only a retryable request may be the trial request.
+# After that any may be, since a service may have no retryable ones.
+RETRYABLE_ONLY_S = 4.0
+# Outcomes from which on an entry trusts its own more than other entries' reports.
+OWN_OUTCOMES_MIN = 5
+# Share of failures below which an upstream counts as healthy by its own outcomes.
+HEALTHY_FAILURE_SHARE = 0.1
+# Suspension of an upstream that other entries report as unreachable: longer than
+# `SUSPEND_MAX_S`, after which one of the reporting entries tries it again.
+REPORTED_SUSPENSION_S = 2.2
+# Weight of the newest outcome in the failure share: about ten requests count.
 OUTCOME_WEIGHT = 0.1
-# Weights of the newest step in the pace, where it is faster than what is known and
-# where it is slower. Prompts that are read beside a stream make its steps longer
-# and say nothing of the upstream, so the pace follows the fast ones.
+# Weights of the newest step in the step duration, when it is faster and when it is
+# slower than the estimate. Prompts that are read concurrently lengthen a stream's steps
+# and say nothing about the upstream, so the estimate follows the fast steps.
 FASTER_WEIGHT = 0.1
 SLOWER_WEIGHT = 0.02
 
 
 @attrs.define(kw_only=True)
 class Health:
-    """One upstream's record.
+    """The record of one upstream.
 
-    `failure_share` runs from 0 to 1. `pace_s` is the recent time between two
-    events of a stream, or of a whole plain answer; None until one was seen. While it
-    `is_on_trial` it is left alone, or gets one request at a time.
+    `failure_share` is between 0 and 1. `step_s` is the recent time between two events
+    of a stream, or None before one was measured. While `is_ejected`, it gets nothing at
+    first, and then one trial request at a time until one succeeds.
     """
 
     failure_share: float = 0.0
@@ -57,7 +56,7 @@
     reported_until_s: float = 0.0
 
     def record_success(self) -> None:
-        """Count an answer that came whole and was no failure."""
+        """Record a complete answer that was no failure."""
         self.failure_share -= self.failure_share * OUTCOME_WEIGHT
         self.consecutive_unreachable = self.consecutive_failures = 0
         self.outcomes += 1
@@ -67,69 +66,73 @@
         self.reported_until_s = 0.0
 
     def record_broken_connection(self) -> None:
-        """Count a connection that broke: the upstream may live.
+        """Record a broken connection: the upstream may be alive.
 
-        What runs there breaks together, so that it is no row of failures.
+        Requests in flight there break together, so they don't count as consecutive
+        failures.
         """
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
         self.consecutive_unreachable = 0
         self.outcomes += 1
 
     def record_failure(self) -> None:
-        """Count an answer that was a failure: the upstream lives."""
+        """Record an answer that was a failure: the upstream is alive."""
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
         self.consecutive_unreachable = 0
         self.consecutive_failures += 1
         self.outcomes += 1
 
     def eject(self, now_s: float) -> None:
-        """Leave it alone for a while, and then try it by one request at a time."""
-        pause_s = min(FAILING_MIN_S * 2**self.ejections, FAILING_MAX_S)
+        """Send nothing there for a while, and then one trial request at a time."""
+        pause_s = min(EJECTION_MIN_S * 2**self.ejections, EJECTION_MAX_S)
         self.is_ejected = True
         self.ejections += 1
         self.suspended_until_s = max(self.suspended_until_s, now_s + pause_s)
 
     def allows_trial(self, *, retryable: bool, now_s: float) -> bool:
-        """Return whether such a request may be the first after it was left alone."""
-        any_from_s = self.suspended_until_s + REPEATABLE_ONLY_S
-        return self.is_ejected and (retryable or now_s >= any_from_s)
+        """Return whether such a request may be the trial request after an ejection."""
+        any_request_from_s = self.suspended_until_s + RETRYABLE_ONLY_S
+        return self.is_ejected and (retryable or now_s >= any_request_from_s)
 
     def is_healthy(self) -> bool:
-        """Return whether this entry's own requests fare well there."""
-        return self.outcomes >= KNOWN_MIN and self.failure_share < SOUND_SHARE
+        """Return whether this entry's own requests mostly succeed there."""
+        return (
+            self.outcomes >= OWN_OUTCOMES_MIN
+            and self.failure_share < HEALTHY_FAILURE_SHARE
+        )
 
     def record_unreachable(self, now_s: float) -> None:
-        """Count a connection that failed, broke or fell silent."""
+        """Record an upstream that couldn't be reached or that stopped sending."""
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
         if now_s < self.suspended_until_s:
-            # Requests that broke together are one failure, not several.
+            # Requests that failed together count as one failure.
             return
         pause_s = SUSPEND_MIN_S * 2**self.consecutive_unreachable
         self.consecutive_unreachable += 1
         self.suspended_until_s = now_s + min(pause_s, SUSPEND_MAX_S)
 
     def suspend_on_reports(self, now_s: float) -> None:
-        """Leave it alone for a while, since others couldn't reach it.
+        """Suspend the upstream, since other entries report it as unreachable.
 
-        Those that found out by themselves try it again after their own pauses, and the
-        others needn't.
+        Those that found out by themselves try it again after their own suspensions, so
+        that the others needn't.
         """
-        self.reported_until_s = now_s + TOLD_S
+        self.reported_until_s = now_s + REPORTED_SUSPENSION_S
 
     def record_step(self, step_s: float) -> None:
-        """Count one measured step."""
+        """Record the measured duration of a step."""
         if self.step_s is None:
             self.step_s = step_s
         weight = FASTER_WEIGHT if step_s < self.step_s else SLOWER_WEIGHT
         self.step_s += (step_s - self.step_s) * weight
 
-    def usable(self, running: int, now_s: float) -> bool:
-        """Return whether one more request may be sent, given those running.
+    def usable(self, in_flight: int, now_s: float) -> bool:
+        """Return whether one more request may be sent beside those in flight.
 
-        After a suspension one request at a time goes until one succeeds.
+        After a suspension, one request at a time is sent until one succeeds.
         """
         if now_s < self.suspended_until_s:
             return False
         if self.consecutive_unreachable or self.is_ejected:
-            return running == 0
+            return in_flight == 0
         return now_s >= self.reported_until_s
--- a/lavenderspoke/direct/outliers.py
+++ b/lavenderspoke/direct/outliers.py
@@ -1,8 +1,8 @@
-"""Which upstreams answer so much worse than the others that they are left alone.
+"""Outlier detection: upstreams that fail so much more than the others are ejected.
 
 An upstream that fails at once is never busy, and while the others are full it would
-draw all that waits. It is judged against the others of its service: on a day on which
-all of them fail, each still gets its part.
+attract all waiting requests. It is compared with the others of its service: while all
+of them fail, each still gets its share of the requests.
 """
 
 import math
@@ -10,23 +10,23 @@
 
 from lavenderspoke.direct.health import Health
 
-# Failures in a row from which on an upstream may count as failing.
-IN_ROW_MIN = 5
-# The same for the share of failures, where some answers in between are sound.
-SHARE_MIN = 0.7
-# By how much its share of failures is above the mean of the others.
-EXCESS_MIN = 0.2
-# The part of a service's upstreams that may be left alone at once, rounded up.
-LEFT_ALONE_PART = 1 / 3
+# Consecutive failures from which on an upstream may be an outlier.
+CONSECUTIVE_FAILURES_MIN = 5
+# Share of failures from which on it may be one, when successes occur in between.
+FAILURE_SHARE_MIN = 0.7
+# How much its share of failures must exceed the mean of the others.
+FAILURE_SHARE_EXCESS_MIN = 0.2
+# The largest share of a service's upstreams that may be ejected at once, rounded up.
+EJECTED_SHARE_MAX = 1 / 3
 
 
 def is_outlier(health: Health, others: Sequence[Health]) -> bool:
     """Return whether an upstream fails clearly more often than the others.
 
-    >>> sound, failing = Health(), Health()
+    >>> healthy, failing = Health(), Health()
     >>> for _ in range(5):
     ...     failing.record_failure()
-    >>> is_outlier(failing, [sound, sound])
+    >>> is_outlier(failing, [healthy, healthy])
     True
     >>> is_outlier(failing, [failing, failing])
     False
@@ -35,14 +35,17 @@
     """
     if not others:
         return False
-    if health.consecutive_failures < IN_ROW_MIN and health.failure_share < SHARE_MIN:
+    if (
+        health.consecutive_failures < CONSECUTIVE_FAILURES_MIN
+        and health.failure_share < FAILURE_SHARE_MIN
+    ):
         return False
-    usual = sum(each.failure_share for each in others) / len(others)
-    return health.failure_share >= usual + EXCESS_MIN
+    mean_share = sum(each.failure_share for each in others) / len(others)
+    return health.failure_share >= mean_share + FAILURE_SHARE_EXCESS_MIN
 
 
 def may_eject(others: Sequence[Health]) -> bool:
-    """Return whether one more may be left alone, so that enough of them stay."""
-    allowed = math.ceil((len(others) + 1) * LEFT_ALONE_PART)
-    alone = sum(1 for each in others if each.is_ejected)
-    return bool(others) and alone < allowed
+    """Return whether one more upstream may be ejected, so that enough stay in use."""
+    allowed = math.ceil((len(others) + 1) * EJECTED_SHARE_MAX)
+    ejected = sum(1 for each in others if each.is_ejected)
+    return bool(others) and ejected < allowed
--- a/lavenderspoke/direct/peerreports.py
+++ b/lavenderspoke/direct/peerreports.py
@@ -1,10 +1,10 @@
-"""Upstreams that other entries couldn't reach."""
+"""Reports by other entries of upstreams that are unreachable or failing."""
 
 import attrs
 
-# Two reports of an upstream belong together within this time, in seconds: an entry that
-# found it away tries again after two seconds at the latest.
-TOGETHER_S = 2.5
+# Time within which reports of an upstream are combined: an entry that couldn't reach it
+# tries again after two seconds at the latest.
+REPORT_WINDOW_S = 2.5
 
 
 @attrs.frozen(kw_only=True)
@@ -15,13 +15,13 @@
 
 
 class PeerReports:
-    """What entries told of upstreams that they couldn't reach.
+    """Recent reports by other entries, by upstream.
 
-    An upstream that lost its power answers nobody. Each of many entries would find that
-    out by itself, with a request that waits until its connection counts as failed, and
-    again after each pause. One report alone may come from an entry that is cut off, and
-    several of one data centre from a cut between two; so two entries of different data
-    centres have to say it.
+    An upstream whose host lost power answers nobody. Without reports, each of many
+    entries would find that out with a request of its own that waits for the connection
+    timeout, and again after each suspension. A single report may come from an entry
+    that is partitioned, and several from one data centre from a partition between two;
+    so entries of two data centres have to report it.
 
     >>> reports = PeerReports()
     >>> reports.record("u", by="a", data_centre="x", now_s=0.0)
@@ -38,17 +38,17 @@
     def record(
         self, upstream_id: str, *, by: str, data_centre: str, now_s: float
     ) -> bool:
-        """Take in a report; return whether the upstream counts as away now."""
+        """Add a report; return whether two data centres now report the upstream."""
         recent = [
             each
             for each in self._reports.get(upstream_id, ())
-            if now_s < each.at_s + TOGETHER_S and each.by != by
+            if now_s < each.at_s + REPORT_WINDOW_S and each.by != by
         ]
         recent.append(_Report(by=by, data_centre=data_centre, at_s=now_s))
         self._reports[upstream_id] = recent
         return len({each.data_centre for each in recent}) > 1
 
     def retain(self, upstream_ids: set[str]) -> None:
-        """Forget all other upstreams."""
+        """Drop the reports of all other upstreams."""
         for upstream_id in self._reports.keys() - upstream_ids:
             del self._reports[upstream_id]
--- a/lavenderspoke/direct/verdicts.py
+++ b/lavenderspoke/direct/verdicts.py
@@ -1,8 +1,8 @@
-"""What an entry's attempts, and the other entries' words, say of upstreams.
+"""What this entry's attempts and the other entries' reports show of upstreams.
 
-An upstream is left alone that another one has replaced, that can't be reached or that
-fails more than the others of its service. What one entry finds the others are told, so
-that each of many needn't find it out with requests of its own.
+An upstream is taken out of use if another one has replaced it, it can't be reached, or
+it fails more than the others of its service. What one entry finds it reports to the
+others, so that they needn't find it out with requests of their own.
 """
 
 import attrs
@@ -18,17 +18,17 @@
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.poison import CrashEvidence
 
-# Time in seconds from which on all requests at an upstream's earlier start have been
-# broken off: their threads only have to wake up.
+# Time after which all requests to an upstream's previous start have been aborted: their
+# threads only have to wake up.
 RESTART_SETTLED_S = 0.2
-LEFT_ALONE = "upstreams_left_alone"
+EJECTIONS = "upstreams_left_alone"
 
 log = logbook.Logger(__name__)
 
 
 @attrs.frozen(kw_only=True)
 class UpstreamFindings:
-    """What the others are told: upstreams by what was found of them."""
+    """Upstreams to be reported to the other entries, by what was found."""
 
     gone: tuple[str, ...]
     unreached: tuple[str, ...]
@@ -37,14 +37,17 @@
 
 @attrs.frozen(kw_only=True)
 class _Restarted:
-    """An upstream's earlier start, and when the new one was noticed."""
+    """An upstream's previous start, and when the new one was noticed."""
 
     upstream: Upstream
     at_s: float
 
 
 class UpstreamMonitor:
-    """Not safe for threads: its owner holds a lock. Times are in seconds."""
+    """Tracks crashed, replaced, unreachable and failing upstreams.
+
+    Not thread-safe: its owner holds a lock. Times are in seconds.
+    """
 
     def __init__(self, *, own_name: str, scheduler: Scheduler, metrics: Metrics):
         self.crashes = CrashDetector(own_name=own_name)
@@ -54,15 +57,15 @@
         self._gone: set[str] = set()
         self._unreached: set[str] = set()
         self._failing: set[str] = set()
-        self._told_unreached = PeerReports()
-        self._told_failing = PeerReports()
+        self._unreached_reports = PeerReports()
+        self._failing_reports = PeerReports()
         self._listed: dict[str, Upstream] = {}
         self._restarted: list[_Restarted] = []
 
     def update_listed(
         self, upstreams: tuple[Upstream, ...], now_s: float
     ) -> list[Upstream]:
-        """Take over the platform's list; return those that have started again."""
+        """Apply the platform's list; return the old starts of restarted upstreams."""
         listed = {each.upstream_id: each for each in upstreams}
         names = {each.name for each in upstreams}
         restarted = [
@@ -71,8 +74,8 @@
             if key not in listed and each.name in names
         ]
         self._listed = listed
-        self._told_unreached.retain(set(listed))
-        self._told_failing.retain(set(listed))
+        self._unreached_reports.retain(set(listed))
+        self._failing_reports.retain(set(listed))
         self._restarted += [_Restarted(upstream=e, at_s=now_s) for e in restarted]
         return restarted
 
@@ -83,56 +86,56 @@
         outcome: AttemptOutcome,
         now_s: float,
     ) -> None:
-        """Take in what became of an attempt of this entry's."""
+        """Record the outcome of one of this entry's attempts."""
         fingerprint = accepted.fingerprint
         if outcome is AttemptOutcome.ANSWERED:
             self.crashes.record_answer(upstream.service, fingerprint)
         elif outcome is AttemptOutcome.BROKEN:
             self.crashes.record_broken_answer(upstream.upstream_id, fingerprint, now_s)
         elif outcome is AttemptOutcome.UNREACHABLE:
-            self._died(upstream, now_s)
+            self._record_crash(upstream, now_s)
             self._unreached.add(upstream.upstream_id)
         elif outcome is AttemptOutcome.MISDIRECTED:
-            self._died(upstream, now_s)
-            self._note_gone(upstream.upstream_id, now_s)
+            self._record_crash(upstream, now_s)
+            self._evict(upstream.upstream_id, now_s)
             self._gone.add(upstream.upstream_id)
-        seat = self._scheduler.queue(upstream.service).pool.state_of(
+        upstream_state = self._scheduler.queue(upstream.service).pool.state_of(
             upstream.upstream_id
         )
-        if seat is None:
+        if upstream_state is None:
             return
         if outcome is AttemptOutcome.ANSWERED:
-            seat.health.record_success()
+            upstream_state.health.record_success()
         elif outcome is AttemptOutcome.FAILED:
-            seat.health.record_failure()
-            self._look_at(seat, now_s)
+            upstream_state.health.record_failure()
+            self._check_outlier(upstream_state, now_s)
         elif outcome is AttemptOutcome.BROKEN:
-            # A broken connection alone doesn't mean that the upstream is away;
-            # if it is, the next connection is refused without any harm.
-            seat.health.record_broken_connection()
-            self._look_at(seat, now_s)
+            # A broken connection alone doesn't mean that the upstream is down; if it
+            # is, the next connection is refused without any harm.
+            upstream_state.health.record_broken_connection()
+            self._check_outlier(upstream_state, now_s)
         elif outcome in (AttemptOutcome.SILENT, AttemptOutcome.UNREACHABLE):
-            seat.health.record_unreachable(now_s)
+            upstream_state.health.record_unreachable(now_s)
 
     def merge_peer_state(self, by: str, state: SharedState, now_s: float) -> None:
-        """Take in what another entry found."""
+        """Apply the findings that another entry reports."""
         for upstream_id in state.gone:
-            self._note_gone(upstream_id, now_s)
+            self._evict(upstream_id, now_s)
         for upstream_id in state.unreached:
-            self._hear_unreached(upstream_id, by, state.data_centre, now_s)
+            self._record_unreached_report(upstream_id, by, state.data_centre, now_s)
         for upstream_id in state.failing:
-            self._hear_failing(upstream_id, by, state.data_centre, now_s)
+            self._record_failing_report(upstream_id, by, state.data_centre, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Take a new start as the crash of the one before, once all of it broke."""
+        """Record a restart as a crash once requests to the old start are aborted."""
         settled = [e for e in self._restarted if now_s >= e.at_s + RESTART_SETTLED_S]
         for each in settled:
             self._restarted.remove(each)
-            self._died(each.upstream, now_s)
+            self._record_crash(each.upstream, now_s)
 
     def take_findings(self) -> UpstreamFindings:
-        """Return what was found since the last time."""
-        news = UpstreamFindings(
+        """Return the findings since the last call, and clear them."""
+        findings = UpstreamFindings(
             gone=tuple(self._gone),
             unreached=tuple(self._unreached),
             failing=tuple(self._failing),
@@ -140,61 +143,65 @@
         self._gone.clear()
         self._unreached.clear()
         self._failing.clear()
-        return news
+        return findings
 
     def take_evidence(self) -> list[CrashEvidence]:
-        """Return the crashes that the others haven't been told of."""
+        """Return the crashes that haven't been sent to the others, and clear them."""
         evidence, self._evidence = self._evidence, []
         return evidence
 
-    def _look_at(self, seat: UpstreamState, now_s: float) -> None:
-        pool = self._scheduler.queue(seat.upstream.service).pool
-        if pool.eject_if_outlier(seat, now_s):
-            self._failing.add(seat.upstream.upstream_id)
-            self._note_left_alone(seat, reason="own", by="own answers")
+    def _check_outlier(self, upstream_state: UpstreamState, now_s: float) -> None:
+        pool = self._scheduler.queue(upstream_state.upstream.service).pool
+        if pool.eject_if_outlier(upstream_state, now_s):
+            self._failing.add(upstream_state.upstream.upstream_id)
+            self._record_ejection(upstream_state, reason="own", by="own answers")
 
-    def _hear_failing(
+    def _record_failing_report(
         self, upstream_id: str, by: str, data_centre: str, now_s: float
     ) -> None:
-        is_failing = self._told_failing.record(
+        is_failing = self._failing_reports.record(
             upstream_id, by=by, data_centre=data_centre, now_s=now_s
         )
         if not is_failing:
             return
-        for line in self._scheduler.queues().values():
-            if line.pool.eject_on_reports(upstream_id, now_s):
-                seat = line.pool.state_of(upstream_id)
-                self._note_left_alone(seat, reason="told", by=f"{by} and others")
-
-    def _hear_unreached(
+        for queue in self._scheduler.queues().values():
+            if queue.pool.eject_on_reports(upstream_id, now_s):
+                upstream_state = queue.pool.state_of(upstream_id)
+                self._record_ejection(
+                    upstream_state, reason="told", by=f"{by} and others"
+                )
+
+    def _record_unreached_report(
         self, upstream_id: str, by: str, data_centre: str, now_s: float
     ) -> None:
-        is_away = self._told_unreached.record(
+        is_away = self._unreached_reports.record(
             upstream_id, by=by, data_centre=data_centre, now_s=now_s
         )
         if not is_away:
             return
-        for line in self._scheduler.queues().values():
-            seat = line.pool.state_of(upstream_id)
-            if seat is not None:
-                seat.health.suspend_on_reports(now_s)
+        for queue in self._scheduler.queues().values():
+            upstream_state = queue.pool.state_of(upstream_id)
+            if upstream_state is not None:
+                upstream_state.health.suspend_on_reports(now_s)
 
-    def _note_left_alone(self, seat: UpstreamState, *, reason: str, by: str) -> None:
-        self._metrics.count(LEFT_ALONE, reason)
+    def _record_ejection(
+        self, upstream_state: UpstreamState, *, reason: str, by: str
+    ) -> None:
+        self._metrics.count(EJECTIONS, reason)
         log.info(
-            "upstream left alone",
-            upstream=seat.upstream.upstream_id,
-            service=seat.upstream.service,
+            "upstream ejected",
+            upstream=upstream_state.upstream.upstream_id,
+            service=upstream_state.upstream.service,
             by=by,
-            failure_share=round(seat.health.failure_share, 2),
-            in_row=seat.health.consecutive_failures,
+            failure_share=round(upstream_state.health.failure_share, 2),
+            in_row=upstream_state.health.consecutive_failures,
         )
 
-    def _note_gone(self, upstream_id: str, now_s: float) -> None:
-        for line in self._scheduler.queues().values():
-            line.pool.evict(upstream_id, now_s)
+    def _evict(self, upstream_id: str, now_s: float) -> None:
+        for queue in self._scheduler.queues().values():
+            queue.pool.evict(upstream_id, now_s)
 
-    def _died(self, upstream: Upstream, now_s: float) -> None:
+    def _record_crash(self, upstream: Upstream, now_s: float) -> None:
         evidence = self.crashes.record_unreachable(
             upstream.service, upstream.upstream_id, now_s
         )
