--- a/lavenderspoke/direct/usage.py
+++ b/lavenderspoke/direct/usage.py
@@ -1,16 +1,16 @@
-"""What one customer used and asked for lately, by rank."""
+"""What one customer used and requested lately, by rank."""
 
 from collections import defaultdict, deque
 
 import attrs
 
 UsageRows = tuple[tuple[int, float, float], ...]
-"""Rank, what an entry let through of it and what was asked for, since its start."""
+"""Rank, and what an entry admitted and what was requested there since its start."""
 
 
 @attrs.define(kw_only=True)
 class _Window:
-    """Amounts of a sliding window: rows of time and amount, and their sum."""
+    """Amounts within a sliding window: rows of time and amount, and their sum."""
 
     amount: float = 0.0
     rows: deque = attrs.field(factory=deque)
@@ -19,11 +19,11 @@
         self.rows.append((now_s, amount))
         self.amount += amount
 
-    def take_back(self, amount: float) -> None:
-        """Take an amount off the newest rows.
+    def subtract(self, amount: float) -> None:
+        """Subtract an amount from the newest rows.
 
-        Subtracted as a row of its own, it would still count when the row that it
-        belongs to has left the window, and as much too much would pass.
+        As a negative row of its own, it would still count after the row that it belongs
+        to has left the window, and too much would be admitted.
         """
         while amount > 0.0 and self.rows:
             at_s, newest = self.rows.pop()
@@ -33,7 +33,7 @@
             if newest > taken:
                 self.rows.append((at_s, newest - taken))
 
-    def forget(self, before_s: float) -> None:
+    def expire(self, before_s: float) -> None:
         while self.rows and self.rows[0][0] <= before_s:
             self.amount -= self.rows.popleft()[1]
 
@@ -46,8 +46,9 @@
 class Usage:
     """One customer's use at all entries, and the totals of this one.
 
-    `level` is what a bucket holds that empties at `empties_per_s`. Times are seconds
-    on the clock that the caller passes in; `pass_time` comes before what is asked.
+    Use is known from `since_s` on. `bucket_level` is that of a leaky bucket, which
+    empties at `leak_per_s`. Times are in seconds on the caller's clock; call `advance`
+    before reading values.
     """
 
     since_s: float
@@ -55,22 +56,22 @@
     leak_per_s: float = 0.0
     bucket_level: float = 0.0
     _used: defaultdict[int, _Window] = attrs.field(factory=_windows)
-    _asked: defaultdict[int, _Window] = attrs.field(factory=_windows)
+    _requested: defaultdict[int, _Window] = attrs.field(factory=_windows)
     _own_used: defaultdict[int, float] = attrs.field(factory=lambda: defaultdict(float))
-    _own_asked: defaultdict[int, float] = attrs.field(
+    _own_requested: defaultdict[int, float] = attrs.field(
         factory=lambda: defaultdict(float)
     )
 
     def advance(self, now_s: float, window_s: float) -> None:
-        """Forget what has left the window, and empty the bucket a little."""
-        for window in (*self._used.values(), *self._asked.values()):
-            window.forget(now_s - window_s)
-        emptied = max(0.0, now_s - self.at_s) * self.leak_per_s
-        self.bucket_level = max(0.0, self.bucket_level - emptied)
+        """Drop what has left the window, and let the bucket leak up to now."""
+        for window in (*self._used.values(), *self._requested.values()):
+            window.expire(now_s - window_s)
+        leaked = max(0.0, now_s - self.at_s) * self.leak_per_s
+        self.bucket_level = max(0.0, self.bucket_level - leaked)
         self.at_s = now_s
 
     def covers_window(self, now_s: float, window_s: float) -> bool:
-        """Return whether all of a window is known."""
+        """Return whether the use in the whole window is known."""
         return now_s - self.since_s >= window_s
 
     def used(self) -> float:
@@ -82,47 +83,47 @@
         return sum(w.amount for each, w in self._used.items() if each >= rank)
 
     def requested_above(self, rank: int) -> float:
-        """Return what ranks above that one asked for in the window."""
-        return sum(w.amount for each, w in self._asked.items() if each < rank)
+        """Return what ranks above that one requested in the window."""
+        return sum(w.amount for each, w in self._requested.items() if each < rank)
 
     def record_request(self, rank: int, cost: float, now_s: float) -> None:
-        """Count what was asked for at this entry."""
-        self._asked[rank].add(cost, now_s)
-        self._own_asked[rank] += cost
+        """Count what was requested at this entry."""
+        self._requested[rank].add(cost, now_s)
+        self._own_requested[rank] += cost
 
     def spend(self, rank: int, cost: float, now_s: float) -> None:
-        """Count what this entry let through."""
+        """Count what this entry admitted."""
         self._used[rank].add(cost, now_s)
         self._own_used[rank] += cost
         self.bucket_level += cost
 
     def refund(self, rank: int, cost: float) -> None:
-        """Take back what this entry let through and what never ran."""
-        self._used[rank].take_back(cost)
+        """Take back what this entry admitted and what never ran."""
+        self._used[rank].subtract(cost)
         self._own_used[rank] -= cost
         self.bucket_level = max(0.0, self.bucket_level - cost)
 
     def totals(self) -> UsageRows:
-        """Return rank, used and asked for of this entry, since its start."""
-        ranks = sorted({*self._own_used, *self._own_asked})
-        return tuple((r, self._own_used[r], self._own_asked[r]) for r in ranks)
+        """Return this entry's totals by rank since its start."""
+        ranks = sorted({*self._own_used, *self._own_requested})
+        return tuple((r, self._own_used[r], self._own_requested[r]) for r in ranks)
 
     def merge_peer(self, before: UsageRows, after: UsageRows, now_s: float) -> None:
-        """Add what a peer's totals have grown by."""
-        known = {rank: (used, asked) for rank, used, asked in before}
-        for rank, used, asked in after:
-            used_before, asked_before = known.get(rank, (0.0, 0.0))
-            if asked > asked_before:
-                self._asked[rank].add(asked - asked_before, now_s)
-            added = used - used_before
-            if added > 0.0:
-                self._used[rank].add(added, now_s)
+        """Add the change of a peer's totals between two messages."""
+        known = {rank: (used, requested) for rank, used, requested in before}
+        for rank, used, requested in after:
+            used_before, requested_before = known.get(rank, (0.0, 0.0))
+            if requested > requested_before:
+                self._requested[rank].add(requested - requested_before, now_s)
+            delta = used - used_before
+            if delta > 0.0:
+                self._used[rank].add(delta, now_s)
             else:
-                self._used[rank].take_back(-added)
-            self.bucket_level = max(0.0, self.bucket_level + added)
+                self._used[rank].subtract(-delta)
+            self.bucket_level = max(0.0, self.bucket_level + delta)
 
     def wait_to_free_s(self, amount: float, now_s: float, window_s: float) -> float:
-        """Return in how many seconds so much will have left the window."""
+        """Return in how many seconds that amount will have left the window."""
         if amount <= 0.0:
             return 0.0
         rows = sorted(row for window in self._used.values() for row in window.rows)
