--- a/features/direct_begun.feature
+++ b/features/direct_begun.feature
@@ -1,10 +1,10 @@
-Feature: What a stream's request tells its dispatcher
-  A prompt counts as unread at its upstream until the stream's first event.
+Feature: Calls of a stream's request to its dispatcher
+  A prompt counts as unread at its upstream until the first event of the stream.
 
-  Scenario: A stream goes on at another upstream
-    Guards against a prompt that counts as unread there until the whole stream has ended.
+  Scenario: A stream is resumed at another upstream
+    Guards against a prompt that counts as unread there until the stream has ended.
     Given a resumable request whose first upstream breaks off after its first event
     And another upstream has a place
-    And its dispatcher notes what it is told
+    And its dispatcher records the calls
     When its stream is read to the end
-    Then its dispatcher was told "began u0, ended u0, began u1, ended u1"
+    Then its dispatcher got the calls "began u0, ended u0, began u1, ended u1"
--- a/lavenderspoke/direct/peertotals.py
+++ b/lavenderspoke/direct/peertotals.py
@@ -1,8 +1,8 @@
-"""Sums of what the other entries have running, waiting and held.
+"""Sums of the other entries' running and waiting requests and of the slots they hold.
 
-Folded as each message comes, so that a message costs what it says and not what all
-entries say: summed up anew at each look, the tables of some hundred entries take more
-processor time than their requests.
+Updated with each message, at a cost that depends on that message only: summing the
+tables of about a hundred entries at each use took more processor time than their
+requests.
 """
 
 from collections import Counter, defaultdict
@@ -17,7 +17,7 @@
 
 
 class PeerTotals:
-    """The sums over the last states of all entries that are heard.
+    """The sums over the last states of all live entries.
 
     >>> totals = PeerTotals()
     >>> totals.put("a", SharedState(address="", running={"u": (2, 900)}))
@@ -35,37 +35,37 @@
         self._prefill_tokens: Counter[str] = Counter()
         self._waiting: defaultdict[str, Counter[Rank]] = defaultdict(Counter)
         self._held: defaultdict[str, Counter[Rank]] = defaultdict(Counter)
-        self._running: dict[str, Load] | None = {}
+        self._loads: dict[str, Load] | None = {}
 
     def names(self) -> list[str]:
-        """Return the names of the entries that count."""
+        """Return the names of the entries that are included."""
         return list(self._states)
 
     def put(self, name: str, state: SharedState) -> None:
-        """Count an entry's state in place of the one before."""
+        """Add an entry's state in place of its previous one."""
         self.drop(name)
         self._states[name] = state
         self._add(state, 1)
 
     def drop(self, name: str) -> None:
-        """Count an entry no more; one that doesn't count is left alone."""
+        """Remove an entry's state, if it is included."""
         state = self._states.pop(name, None)
         if state is not None:
             self._add(state, -1)
 
     def loads(self) -> dict[str, Load]:
-        """Return what runs at each upstream."""
-        if self._running is None:
-            self._running = {
+        """Return the load of each upstream."""
+        if self._loads is None:
+            self._loads = {
                 upstream_id: Load(
                     requests=count, prefill_tokens=self._prefill_tokens[upstream_id]
                 )
                 for upstream_id, count in self._requests.items()
             }
-        return self._running
+        return self._loads
 
     def counts(self, service: str, *, age_s: float) -> PeerCounts:
-        """Return what the entries have of one service, as old as the caller says."""
+        """Return the counts of one service; `age_s` is passed on."""
         return PeerCounts(
             waiting=_counts(self._waiting.get(service)),
             held=_counts(self._held.get(service)),
@@ -74,16 +74,19 @@
         )
 
     def _add(self, state: SharedState, sign: int) -> None:
-        self._running = None
+        self._loads = None
         for upstream_id, (count, tokens) in state.running.items():
             self._requests[upstream_id] += sign * count
             self._prefill_tokens[upstream_id] += sign * tokens
             if not self._requests[upstream_id]:
-                # Upstreams come and go for as long as an entry lives.
+                # Otherwise the tables would grow with each upstream ever listed.
                 del self._requests[upstream_id], self._prefill_tokens[upstream_id]
-        for told, sums in ((state.waiting, self._waiting), (state.held, self._held)):
-            for service, rows in told.items():
-                _add_rows(sums[service], rows, sign)
+        for rows_by_service, totals in (
+            (state.waiting, self._waiting),
+            (state.held, self._held),
+        ):
+            for service, rows in rows_by_service.items():
+                _add_rows(totals[service], rows, sign)
 
 
 def _add_rows(counts: Counter[Rank], rows: RankRows, sign: int) -> None:
--- a/lavenderspoke/direct/sharing.py
+++ b/lavenderspoke/direct/sharing.py
@@ -10,31 +10,31 @@
 from lavenderspoke.direct.scheduler import PeerCounts
 from lavenderspoke.model import InstanceId
 
-# An entry not heard for so long, in seconds, counts as silent: at least three of the
-# messages that are due in that time would have to be lost.
+# An entry not heard from for this long is no longer live: at least three of the
+# messages due in that time would have to be lost.
 LIVE_TIMEOUT_S = 1.0
-# A neighbour that hasn't told anything itself for so long, in seconds, doesn't pass on
-# what the others of its group tell: while nothing changes, a message is due each 0.3 s.
-MUTE_S = 0.5
-# An entry silent for so long is taken as gone, in seconds. It is long, since
-# one that is only cut off may still let requests through.
-GONE_S = 20.0
-# How old a state is when the next one replaces it, in seconds, before any was replaced.
-REPLACED_INITIAL_S = 0.1
-# Weight of the newest state in the mean of that.
-REPLACED_WEIGHT = 0.01
-# For how long, in seconds, what others pass on of an entry's earlier life is turned
-# away: longer than a message takes by way of two entries, one of which is slow.
-ENDED_S = 3.0
-# How long after it was first asked for a refused request is expected back, in
-# seconds: callers come back within a third of the time they have.
-RETURN_S = 12.0
-RETURNS_MAX = 4096
+# A neighbour that sent nothing itself for this long doesn't relay the states of its
+# group: even if nothing changes, a message is due every 0.3 s.
+DIRECT_TIMEOUT_S = 0.5
+# An entry not heard from for this long is taken as gone. It is long, since an entry
+# that is only partitioned may still admit requests.
+EXPIRY_S = 20.0
+# Mean time until a state is replaced by the next one, before any was.
+STATE_INTERVAL_INITIAL_S = 0.1
+# Weight of the newest state in that mean.
+STATE_INTERVAL_WEIGHT = 0.01
+# For how long relayed states of an ended incarnation are rejected: longer than a
+# message takes through two entries, one of which is slow.
+ENDED_INCARNATION_S = 3.0
+# How long after its first attempt a refused request may be resubmitted: callers retry
+# within a third of the time they have.
+RESUBMISSION_S = 12.0
+RESUBMISSIONS_MAX = 4096
 
 
 @attrs.frozen(kw_only=True)
 class EntryLocation:
-    """Where an entry listens for the others, and in which data centre it runs."""
+    """The address at which an entry listens for the others, and its data centre."""
 
     address: str
     data_centre: str = ""
@@ -42,48 +42,49 @@
 
 @attrs.define(kw_only=True)
 class _Peer:
-    """`seen_s` is when it was listed or heard last, `heard_s` only the latter.
+    """`seen_s` is when the entry was last listed or heard from.
 
-    `told_s` is when it told something itself; what is heard of it otherwise comes by
-    way of others. `number` is that of its last state.
+    `heard_s` is the time of its last state, which others may have relayed, and
+    `heard_directly_s` the time of the last one that it sent itself. `number` is the
+    sequence number of its last state.
     """
 
-    whereabouts: EntryLocation
+    location: EntryLocation
     seen_s: float
     incarnation: str = ""
     number: int = -1
     heard_s: float | None = None
-    told_s: float | None = None
+    heard_directly_s: float | None = None
 
 
 class Peers:
     """The other entries.
 
-    Times are in seconds on the clock that the caller passes in.
+    Times are in seconds on the caller's clock.
     """
 
     def __init__(self, *, own_name: str):
         self._own_name = own_name
         self._peers: dict[str, _Peer] = {}
         self._totals = PeerTotals()
-        self._replaced_s = REPLACED_INITIAL_S
-        # Earlier lives, by when they ended.
-        self._ended: OrderedDict[InstanceId, float] = OrderedDict()
+        self._state_interval_s = STATE_INTERVAL_INITIAL_S
+        # Ended incarnations and when they ended, oldest first.
+        self._ended_incarnations: OrderedDict[InstanceId, float] = OrderedDict()
 
     def update_listed(self, entries: dict[str, EntryLocation], now_s: float) -> None:
-        """Take over the entries that the platform's store names.
+        """Add the entries listed in the platform's store.
 
-        A record there outlives its entry, so it makes an entry known once and
-        doesn't keep it alive.
+        A record there outlives its entry, so it makes an entry known once and doesn't
+        keep it known.
         """
-        for name, whereabouts in entries.items():
+        for name, location in entries.items():
             if name == self._own_name:
                 continue
             peer = self._peers.get(name)
-            is_moved = peer is not None and peer.whereabouts != whereabouts
-            if peer is None or (is_moved and not self._fresh(peer, now_s)):
+            is_moved = peer is not None and peer.location != location
+            if peer is None or (is_moved and not self._is_live(peer, now_s)):
                 self._totals.drop(name)
-                self._peers[name] = _Peer(whereabouts=whereabouts, seen_s=now_s)
+                self._peers[name] = _Peer(location=location, seen_s=now_s)
 
     def receive(
         self,
@@ -93,149 +94,164 @@
         *,
         age_s: float | None = None,
     ) -> bool:
-        """Take in what a peer told, or what another one passed on of it.
+        """Apply a peer's state, received directly or through a relay.
 
-        `age_s` is how long ago the one that passes it on heard it, None where the peer
-        told it itself. Returns False for what is older than what is known: it must not
-        bring back a peer that has left, nor the life before its last start.
+        `age_s` is how long ago the relay received it, or None if the peer sent it
+        itself. Returns False for an outdated state, which must not bring back a peer
+        that has left or an incarnation that has ended.
         """
         peer = self._peers.get(sender.name)
-        if sender.name == self._own_name or self._is_old(sender, state, age_s, now_s):
+        if sender.name == self._own_name or self._is_outdated(
+            sender, state, age_s, now_s
+        ):
             return False
         if state.leaving:
-            self._end(sender, now_s)
+            self._end_incarnation(sender, now_s)
             self._peers.pop(sender.name, None)
             self._totals.drop(sender.name)
             return True
-        if peer is not None and self._fresh(peer, now_s):
-            replaced_s = now_s - peer.heard_s
-            self._replaced_s += (replaced_s - self._replaced_s) * REPLACED_WEIGHT
-        told_s = peer.told_s if peer is not None else None
+        if peer is not None and self._is_live(peer, now_s):
+            interval_s = now_s - peer.heard_s
+            self._state_interval_s += (
+                interval_s - self._state_interval_s
+            ) * STATE_INTERVAL_WEIGHT
+        heard_directly_s = peer.heard_directly_s if peer is not None else None
         if peer is not None and peer.incarnation not in ("", sender.incarnation):
-            self._end(attrs.evolve(sender, incarnation=peer.incarnation), now_s)
-            told_s = None
+            self._end_incarnation(
+                attrs.evolve(sender, incarnation=peer.incarnation), now_s
+            )
+            heard_directly_s = None
         self._peers[sender.name] = _Peer(
-            whereabouts=EntryLocation(
+            location=EntryLocation(
                 address=state.address, data_centre=state.data_centre
             ),
             seen_s=now_s,
             incarnation=sender.incarnation,
             number=state.number,
             heard_s=now_s - (age_s or 0.0),
-            told_s=now_s if age_s is None else told_s,
+            heard_directly_s=now_s if age_s is None else heard_directly_s,
         )
         self._totals.put(sender.name, state)
         return True
 
     def known(self, now_s: float) -> dict[str, EntryLocation]:
-        """Return the entries by name that may be alive."""
+        """Return the entries that may be alive, by name."""
         return {
-            name: peer.whereabouts
+            name: peer.location
             for name, peer in self._peers.items()
-            if self._may_live(peer, now_s)
+            if self._may_be_alive(peer, now_s)
         }
 
     def live_names(self, now_s: float) -> list[str]:
-        """Return the names of those that were heard just now, by whatever way."""
-        return [n for n, peer in self._peers.items() if self._fresh(peer, now_s)]
+        """Return the names of the live entries, heard directly or through a relay."""
+        return [n for n, peer in self._peers.items() if self._is_live(peer, now_s)]
 
     def directly_heard_names(self, now_s: float) -> list[str]:
-        """Return the names of those that told something themselves just now."""
+        """Return the names of the entries that recently sent a state themselves."""
         return [
             name
             for name, peer in self._peers.items()
-            if peer.told_s is not None and now_s < peer.told_s + MUTE_S
+            if peer.heard_directly_s is not None
+            and now_s < peer.heard_directly_s + DIRECT_TIMEOUT_S
         ]
 
     def remove_expired(self, now_s: float) -> list[str]:
-        """Forget those that are gone for good and return their addresses."""
-        names = [n for n, p in self._peers.items() if not self._may_live(p, now_s)]
+        """Remove the entries that are gone, and return their addresses."""
+        names = [n for n, p in self._peers.items() if not self._may_be_alive(p, now_s)]
         for name in names:
             self._totals.drop(name)
-        return [self._peers.pop(name).whereabouts.address for name in names]
+        return [self._peers.pop(name).location.address for name in names]
 
     def drop_stale(self, now_s: float) -> None:
-        """Leave out of `running` and `share` what those said that aren't heard."""
+        """Exclude entries that are no longer live from `loads` and `counts`."""
         for name in self._totals.names():
-            if not self._fresh(self._peers[name], now_s):
+            if not self._is_live(self._peers[name], now_s):
                 self._totals.drop(name)
 
     def loads(self) -> dict[str, Load]:
-        """Return what the entries that are heard have running, by upstream."""
+        """Return the loads of the live entries, by upstream."""
         return self._totals.loads()
 
     def counts(self, service: str) -> PeerCounts:
-        """Return what the entries that are heard have of a service."""
-        # A state's age goes from nothing to that at which it is replaced.
-        return self._totals.counts(service, age_s=self._replaced_s / 2.0)
+        """Return the counts of the live entries for one service."""
+        # A state's age grows from zero until it is replaced, so the mean is half of it.
+        return self._totals.counts(service, age_s=self._state_interval_s / 2.0)
 
     def live_and_known_counts(self, now_s: float) -> tuple[int, int]:
-        """Return how many entries are heard and how many there may be.
+        """Return how many entries are live and how many may be alive.
 
-        Both count this entry.
+        Both numbers include this entry.
         """
         return 1 + len(self.live_names(now_s)), 1 + len(self.known(now_s))
 
-    def _is_old(
+    def _is_outdated(
         self, sender: InstanceId, state: SharedState, age_s: float | None, now_s: float
     ) -> bool:
         peer = self._peers.get(sender.name)
         if peer is not None and peer.incarnation == sender.incarnation:
             return state.number <= peer.number
-        ended_s = self._ended.get(sender)
-        return age_s is not None and ended_s is not None and now_s < ended_s + ENDED_S
+        ended_s = self._ended_incarnations.get(sender)
+        return (
+            age_s is not None
+            and ended_s is not None
+            and now_s < ended_s + ENDED_INCARNATION_S
+        )
 
-    def _end(self, life: InstanceId, now_s: float) -> None:
-        self._ended[life] = now_s
-        while self._ended and next(iter(self._ended.values())) + ENDED_S <= now_s:
-            self._ended.popitem(last=False)
+    def _end_incarnation(self, incarnation_id: InstanceId, now_s: float) -> None:
+        self._ended_incarnations[incarnation_id] = now_s
+        while (
+            self._ended_incarnations
+            and next(iter(self._ended_incarnations.values())) + ENDED_INCARNATION_S
+            <= now_s
+        ):
+            self._ended_incarnations.popitem(last=False)
 
     @staticmethod
-    def _may_live(peer: _Peer, now_s: float) -> bool:
-        return now_s < peer.seen_s + GONE_S
+    def _may_be_alive(peer: _Peer, now_s: float) -> bool:
+        return now_s < peer.seen_s + EXPIRY_S
 
     @staticmethod
-    def _fresh(peer: _Peer, now_s: float) -> bool:
+    def _is_live(peer: _Peer, now_s: float) -> bool:
         return peer.heard_s is not None and now_s < peer.heard_s + LIVE_TIMEOUT_S
 
 
 class Resubmissions:
-    """The refused requests that are expected back, here or at another entry."""
+    """Refused requests that may be resubmitted, here or at another entry."""
 
     def __init__(self):
-        self._first_s: OrderedDict[str, float] = OrderedDict()
-        self._news: list[str] = []
+        self._first_arrived_s: OrderedDict[str, float] = OrderedDict()
+        self._unsent: list[str] = []
 
-    def record_refusal(self, fingerprint: str, first_s: float) -> None:
-        """Note a refusal of this entry, to be told to the others.
+    def record_refusal(self, fingerprint: str, first_arrived_s: float) -> None:
+        """Record a refusal by this entry, to be sent to the others.
 
-        `first_s` is when its caller asked for the first time.
+        `first_arrived_s` is the time of the caller's first attempt.
         """
-        self._expect(fingerprint, first_s)
-        self._news.append(fingerprint)
+        self._remember(fingerprint, first_arrived_s)
+        self._unsent.append(fingerprint)
 
     def record_peer_refusals(self, fingerprints: tuple[str, ...], now_s: float) -> None:
-        """Take in refusals of another entry, which tells of them at once."""
+        """Record refusals by another entry, which reports them at once."""
         for fingerprint in fingerprints:
-            self._expect(fingerprint, now_s)
+            self._remember(fingerprint, now_s)
 
     def take(self, fingerprint: str, now_s: float) -> float | None:
-        """Return when this one was first asked for, or None if it is new.
+        """Return the time of the first attempt, or None if the request is new.
 
-        What came back is forgotten: its next refusal will note it again.
+        Its record is removed, since the next refusal will add it again.
         """
-        first_s = self._first_s.pop(fingerprint, None)
-        if first_s is None or now_s >= first_s + RETURN_S:
+        first_arrived_s = self._first_arrived_s.pop(fingerprint, None)
+        if first_arrived_s is None or now_s >= first_arrived_s + RESUBMISSION_S:
             return None
-        return first_s
+        return first_arrived_s
 
     def take_unsent(self) -> tuple[str, ...]:
-        """Return the refusals that the others haven't been told of."""
-        news, self._news = self._news, []
-        return tuple(news)
-
-    def _expect(self, fingerprint: str, first_s: float) -> None:
-        self._first_s[fingerprint] = first_s
-        self._first_s.move_to_end(fingerprint)
-        while len(self._first_s) > RETURNS_MAX:
-            self._first_s.popitem(last=False)
+        """Return the refusals that haven't been sent to the others yet."""
+        unsent, self._unsent = self._unsent, []
+        return tuple(unsent)
+
+    def _remember(self, fingerprint: str, first_arrived_s: float) -> None:
+        self._first_arrived_s[fingerprint] = first_arrived_s
+        self._first_arrived_s.move_to_end(fingerprint)
+        while len(self._first_arrived_s) > RESUBMISSIONS_MAX:
+            self._first_arrived_s.popitem(last=False)
