--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps about entries that read the platform's store for each other."""
+"""Steps about entries that relay records of the platform's store."""
 
 import heapq
 import itertools
@@ -38,16 +38,16 @@
 
 
 class World:
-    """Entries and a store on one clock."""
+    """Entries and a fake store on a simulated clock."""
 
     def __init__(self, *, entries: int, feed: str):
         self.now_s = 0.0
         self.topics: dict[str, list[KeyedRecord]] = {}
-        self.forgotten_before = 0
-        self.turned_away: set[str] = set()
-        self.cut_off: set[str] = set()
-        self.unanswered: set[str] = set()
-        self.stuck: set[str] = set()
+        self.expired_before = 0
+        self.rejected: set[str] = set()
+        self.disconnected: set[str] = set()
+        self.unresponsive_to: set[str] = set()
+        self.hanging: set[str] = set()
         self.calls: dict[str, int] = {}
         self.largest_bytes = 0
         self.entries = {}
@@ -58,7 +58,7 @@
             self.calls[name] = 0
             self.entries[name] = DrivenEntry(world=self, name=name, feed=feed)
         for number, name in enumerate(names):
-            self.at(number * 0.03, self.entries[name].turn)
+            self.at(number * 0.03, self.entries[name].run)
 
     def monotonic_s(self) -> float:
         return self.now_s
@@ -84,14 +84,14 @@
         if isinstance(message, RecordsTold):
             size = sum(len(value or b"") for _, value, _ in message.records)
             self.largest_bytes = max(self.largest_bytes, size)
-        if not {sender, name} & self.cut_off:
+        if not {sender, name} & self.disconnected:
             who = InstanceId(name=sender, incarnation="1")
             self.entries[name].relay.handle_message(who, message)
             self.entries[name].end_pause()
 
 
 class FakeStore:
-    """The store as one entry reaches it."""
+    """The store as one entry sees it."""
 
     def __init__(self, *, world: World, name: str):
         self._world = world
@@ -99,7 +99,7 @@
 
     def _call(self) -> StoreError | None:
         self._world.calls[self._name] += 1
-        away = self._name in self._world.turned_away | self._world.cut_off
+        away = self._name in self._world.rejected | self._world.disconnected
         return StoreError(detail="turned away") if away else None
 
     def newest(self, topic: str):
@@ -113,8 +113,8 @@
     def read(self, topic: str, from_offset: int, *, wait_s: float):
         if error := self._call():
             return Err(error)
-        if from_offset < self._world.forgotten_before:
-            return Ok(OffsetExpired(first_offset=self._world.forgotten_before))
+        if from_offset < self._world.expired_before:
+            return Ok(OffsetExpired(first_offset=self._world.expired_before))
         records = self._world.topics.get(topic, [])
         return Ok(
             RecordBatch(records=tuple(records[from_offset:]), next_offset=len(records))
@@ -122,7 +122,7 @@
 
 
 class DrivenEntry:
-    """One entry's feed, turned by the world; a read that waits ends when it may."""
+    """One entry's feed, run by the simulated clock; long polls end as in the store."""
 
     def __init__(self, *, world: World, name: str, feed: str):
         self.name = name
@@ -130,8 +130,8 @@
         self.in_force = CatalogInForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
         self.metrics = Metrics()
         self._world = world
-        self._turning = False
-        self._turns = 0
+        self._running = False
+        self._run_count = 0
         self._held = False
         self.relay = Relay(
             peers=PeerAccess(
@@ -139,7 +139,7 @@
                 live_peer_names=lambda: [
                     n
                     for n in world.entries
-                    if n != name and not {n, name} & world.cut_off
+                    if n != name and not {n, name} & world.disconnected
                 ],
                 send=lambda peer, message: world.send(name, peer, message),
             ),
@@ -178,48 +178,46 @@
         self.upstreams = upstreams
 
     def end_pause(self) -> None:
-        """Take the next turn at once if the feed's thread would be woken."""
-        if self._turning or not self.feed._wake.is_set():
+        """Run the feed at once if its thread would be woken."""
+        if self._running or not self.feed._wake.is_set():
             return
         self.feed._wake.clear()
-        self._turn_in(CALL_S)
+        self._run_in(CALL_S)
 
     def end_wait(self) -> None:
-        """Read again at once if the store holds a read back: there is news."""
+        """Read again at once if the store holds a read: there is a new record."""
         if self._held:
-            self._turn_in(CALL_S)
+            self._run_in(CALL_S)
 
-    def _turn_in(self, seconds: float) -> None:
-        self._turns += 1
-        number = self._turns
+    def _run_in(self, seconds: float) -> None:
+        self._run_count += 1
+        number = self._run_count
         self._world.at(
             self._world.now_s + seconds,
-            lambda: self.turn() if number == self._turns else None,
+            lambda: self.run() if number == self._run_count else None,
         )
 
-    def turn(self) -> None:
-        if self.name in self._world.stuck:
+    def run(self) -> None:
+        if self.name in self._world.hanging:
             return
         calls = self._world.calls[self.name]
-        self._turning = True
+        self._running = True
         pause_s = self.feed.run_once()
         read = self._world.calls[self.name] > calls
-        # The fake answers at once where the store would hold a read back.
+        # The fake responds at once where the store would hold the read.
         held_s = self.feed._long_poll_s() if read else 0.0
         self._held = held_s > 0.0
-        if read and self.name in self._world.unanswered:
-            self._world.at(
-                self._world.now_s + ANSWER_S, lambda: self._end_turn(pause_s)
-            )
+        if read and self.name in self._world.unresponsive_to:
+            self._world.at(self._world.now_s + ANSWER_S, lambda: self._end_run(pause_s))
         else:
-            self._end_turn(pause_s + held_s)
+            self._end_run(pause_s + held_s)
 
-    def _end_turn(self, pause_s: float) -> None:
-        self._turning = False
+    def _end_run(self, pause_s: float) -> None:
+        self._running = False
         if self.feed._wake.is_set():
             self.feed._wake.clear()
             pause_s = 0.0
-        self._turn_in(max(CALL_S, pause_s))
+        self._run_in(max(CALL_S, pause_s))
 
 
 @given("{count:d} entries before a store with a configuration")
@@ -240,7 +238,7 @@
     context.world.run(seconds)
 
 
-@then("all have it in force and may honour keys")
+@then("all have it in force and accept keys")
 def step_all_fresh(context):
     for entry in context.world.entries.values():
         assert entry.in_force.catalog.version == 1
@@ -264,7 +262,7 @@
     context.world.run(seconds)
 
 
-@then("each entry counted all its calls of the store, and why: {reasons}")
+@then("each entry counted all its store calls by reason: {reasons}")
 def step_counted(context, reasons):
     seen = set()
     for name, entry in context.world.entries.items():
@@ -279,9 +277,9 @@
     assert seen == set(reasons.split(", ")), seen
 
 
-@when("the reads of the first {count:d} entries get stuck")
+@when("the store reads of the first {count:d} entries hang")
 def step_stuck(context, count):
-    context.world.stuck = set(list(context.world.entries)[:count])
+    context.world.hanging = set(list(context.world.entries)[:count])
 
 
 @when("the operator writes a version each {gap_s:g} s from {first:d} to {last:d}")
@@ -346,22 +344,22 @@
     assert context.world.largest_bytes <= kilobytes * 1024
 
 
-@then("the entries that asked called the store at most {most:d} times each")
+@then("each follower called the store at most {most:d} times")
 def step_asked_calls(context, most):
     calls = context.world.calls
     assert all(calls[f"entry-{n}"] <= most for n in range(2, 6)), calls
 
 
-@then("version {version:d} is in force at all")
+@then("version {version:d} is in force at all entries")
 def step_version_all(context, version):
     for entry in context.world.entries.values():
         assert entry.in_force.catalog.version == version, entry.name
 
 
-@when("the store turns away the first {count:d} entries for {seconds:d} s")
+@when("the store rejects the first {count:d} entries for {seconds:d} s")
 def step_turned_away(context, count, seconds):
     world = context.world
-    world.turned_away = set(list(world.entries)[:count])
+    world.rejected = set(list(world.entries)[:count])
     context.stale = set()
     for _ in range(round(seconds / STEP_S)):
         world.run(STEP_S)
@@ -370,50 +368,50 @@
         }
 
 
-@when("the store turns away the last {count:d} entries from now on")
+@when("the store rejects the last {count:d} entries from now on")
 def step_turned_away_on(context, count):
-    context.world.turned_away = set(list(context.world.entries)[-count:])
+    context.world.rejected = set(list(context.world.entries)[-count:])
 
 
-@when("the store gives the last {count:d} entries no answer from now on")
+@when("the store never responds to the last {count:d} entries from now on")
 def step_unanswered(context, count):
     step_turned_away_on(context, count)
-    context.world.unanswered = context.world.turned_away
+    context.world.unresponsive_to = context.world.rejected
 
 
-@then("all may honour keys all the while")
+@then("all accepted keys throughout")
 def step_never_stale(context):
     assert not context.stale, context.stale
 
 
-@then("nobody may honour keys")
+@then("no entry accepts keys")
 def step_all_stale(context):
     for entry in context.world.entries.values():
         assert not entry.in_force.is_fresh(), entry.name
 
 
-@when("an entry that is cut off from all hears an answer {seconds:d} s after it asked")
+@when("a disconnected entry receives a reply {seconds:d} s after its query")
 def step_late_answer(context, seconds):
     world = context.world
     context.entry = entry = world.entries["entry-5"]
-    asked = RecordsAsked(
+    query = RecordsAsked(
         topic=CONFIGURATION_TOPIC,
         from_offset=entry.feed.cache.next_offset,
         asked_s=world.now_s,
     )
-    told = world.entries["entry-0"].feed.cache.reply_to(asked, world.now_s)
-    world.cut_off = {entry.name}
+    reply = world.entries["entry-0"].feed.cache.reply_to(query, world.now_s)
+    world.disconnected = {entry.name}
     world.run(seconds)
     peer = InstanceId(name="entry-0", incarnation="1")
-    entry.relay.handle_message(peer, told)
+    entry.relay.handle_message(peer, reply)
 
 
-@then("that entry may not honour keys")
+@then("that entry doesn't accept keys")
 def step_entry_stale(context):
     assert not context.entry.in_force.is_fresh()
 
 
-@when("an entry hears an answer from before version 2, which it has in force")
+@when("an entry with version 2 in force receives a reply from before it")
 def step_older_answer(context):
     world = context.world
     entry = context.entry = world.entries["entry-5"]
@@ -430,16 +428,16 @@
     context.version_age_s = entry.in_force.age_s()
 
 
-@then("version 2 stays in force there")
+@then("version 2 stays in force at that entry")
 def step_stays(context):
     assert context.entry.in_force.catalog.version == 2
 
 
-@when("upstream a is dropped, and the store forgets everything up to now")
+@when("upstream a is deleted, and the store expires all records so far")
 def step_dropped_and_forgotten(context):
     world = context.world
     world.append(UPSTREAMS_TOPIC, "a", None)
-    world.forgotten_before = len(world.topics[UPSTREAMS_TOPIC])
+    world.expired_before = len(world.topics[UPSTREAMS_TOPIC])
 
 
 def register(world: World, name: str) -> None:
@@ -454,12 +452,12 @@
 
 
 @when(
-    "the store is away for {away:d} s, drops both, and has them again "
-    "{again:d} s after its return"
+    "the store is down for {away:d} s, deletes both, and has them again "
+    "{again:d} s after it recovers"
 )
 def step_away(context, away, again):
     world = context.world
-    world.turned_away = set(world.entries)
+    world.rejected = set(world.entries)
     context.known = []
 
     def run(seconds: float) -> None:
@@ -470,39 +468,40 @@
     run(away)
     for name in ("a", "b"):
         world.append(UPSTREAMS_TOPIC, name, None)
-    world.turned_away = set()
+    world.rejected = set()
     run(again)
     for name in ("a", "b"):
         register(world, name)
     run(3.0)
 
 
-@then("all entries knew a and b all the while")
+@then("all entries knew a and b throughout")
 def step_knew(context):
     assert set(context.known) == {2}, sorted(set(context.known))
 
 
-@when("the store turns one that reads away, and upstream a is dropped")
+@when("the store rejects one reader, and upstream a is deleted")
 def step_away_and_dropped(context):
-    # One of those that read: the others would not notice.
-    context.world.turned_away = {"entry-0"}
+    # A reader; followers wouldn't notice.
+    context.world.rejected = {"entry-0"}
     context.world.run(3.0)
     context.world.append(UPSTREAMS_TOPIC, "a", None)
 
 
 @when(
-    "{count:d} other upstreams come and go, upstream a too, while one entry is cut off"
+    "{count:d} other upstreams come and go, and a is deleted, while one entry is "
+    "disconnected"
 )
 def step_many_dropped(context, count):
     world = context.world
-    world.cut_off = {"entry-5"}
+    world.disconnected = {"entry-5"}
     for number in range(count):
         register(world, f"other-{number}")
         world.append(UPSTREAMS_TOPIC, f"other-{number}", None)
     world.append(UPSTREAMS_TOPIC, "a", None)
     world.run(5.0)
-    # It hears the others again, but the store still turns it away.
-    world.cut_off, world.turned_away = set(), {"entry-5"}
+    # It reaches the other entries again, but the store still rejects it.
+    world.disconnected, world.rejected = set(), {"entry-5"}
 
 
 @then("within {seconds:d} s all entries know only b")
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -1,8 +1,8 @@
-"""A thread that follows one topic of the platform's log.
+"""A consumer thread for one topic of the platform's log.
 
-It reads on from where it was. When the records it wants are gone, it takes the
-newest record of each key and goes on from there. While other entries read the
-store, it asks them instead.
+It reads from its last offset. When that offset has expired, it loads the newest record
+of each key and continues from there. While other entries read the store, it queries
+them instead.
 """
 
 import threading
@@ -21,7 +21,7 @@
 from lavenderspoke.direct.relay import RecordCache, Relay
 from lavenderspoke.observing.metrics import Metrics
 
-# Pause after a call that failed, in seconds.
+# Minimum pause after a failed call, in seconds.
 RETRY_PAUSE_S = 0.2
 STORE_CALLS = "store_calls"
 
@@ -29,7 +29,7 @@
 
 
 class CallReason(Enum):
-    """Why an entry calls the store in place of asking another entry."""
+    """Why an entry calls the store instead of querying another entry."""
 
     FIRST = "first"
     FORGOTTEN = "forgotten"
@@ -42,13 +42,12 @@
 
 
 class Feed:
-    """A feed follows one topic on a thread of its own.
+    """Follows one topic on its own thread.
 
-    `stale_after_s` is how old its knowledge may get, in seconds, before it reads the
-    store although other entries do; `query_interval_s` is the time between two
-    questions to them. The others are told of `urgent` news at once. `reread_after_s`
-    is how old the last news may get, in seconds, before it reads those that are too
-    large to be passed on.
+    A follower queries the readers every `query_interval_s` seconds, and reads the store
+    itself once its state is older than `stale_after_s` seconds. Peers are notified at
+    once of new records of an `urgent` topic. Records too large to be relayed are read
+    from the store once the last records are `reread_after_s` seconds old.
     """
 
     topic = ""
@@ -67,11 +66,11 @@
         self._metrics = metrics
         self._from_newest = True
         self._failing = False
-        self._read_next = False
-        # When the read was sent that brought the last records.
-        self._news_s = float("-inf")
-        # Own reads and other entries' answers are taken in on different threads.
-        self._taking = threading.Lock()
+        self._read_scheduled = False
+        # When the read that returned the last records was sent.
+        self._last_records_s = float("-inf")
+        # Store reads and relayed records are applied on different threads.
+        self._apply_lock = threading.Lock()
         self._stopping = threading.Event()
         # Set to end a pause early.
         self._wake = threading.Event()
@@ -79,29 +78,29 @@
         relay.register(self)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._stopping.clear()
         self._thread = threading.Thread(target=self._run, name=self.topic, daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop after the call under way, without waiting for it."""
+        """Stop after the current call, without waiting for it."""
         self._stopping.set()
         self._wake.set()
 
     def alive(self) -> bool:
-        """Return whether the thread runs, or has ended because it was told to."""
+        """Return whether the thread is running or was stopped by `stop`."""
         if self._stopping.is_set():
             return True
         return self._thread is not None and self._thread.is_alive()
 
     def poll(self) -> bool:
-        """Read once and pass on what came; return whether that was of use."""
+        """Read the store once and notify peers; return whether the read succeeded."""
         self._count_call(self._read_reason())
-        self._read_next = False
+        self._read_scheduled = False
         sent_s = self._clock.monotonic_s()
-        whole = self._from_newest
-        if whole:
+        is_snapshot = self._from_newest
+        if is_snapshot:
             read = self._store.newest(self.topic)
         else:
             offset = self.cache.next_offset
@@ -109,55 +108,55 @@
         if isinstance(read, Err):
             self._note_failure(read.err_value)
             return False
-        self._answered()
-        content = read.ok_value
-        if isinstance(content, OffsetExpired):
-            log.info("records are gone", topic=self.topic, offset=offset)
+        self._note_success()
+        batch = read.ok_value
+        if isinstance(batch, OffsetExpired):
+            log.info("offset expired", topic=self.topic, offset=offset)
             self._from_newest = True
             return self.poll()
-        if content.skipped:
-            log.warning("records skipped", topic=self.topic, count=content.skipped)
-        known = self.cache.next_offset
-        if not self._apply_and_cache(content, is_snapshot=whole, sent_s=sent_s):
+        if batch.skipped:
+            log.warning("records skipped", topic=self.topic, count=batch.skipped)
+        known_offset = self.cache.next_offset
+        if not self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s):
             return False
-        if content.next_offset > (known or 0):
+        if batch.next_offset > (known_offset or 0):
             self._relay.notify_peers(self)
         return True
 
     def apply_relayed(
         self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
     ) -> None:
-        """Take in what another entry told; from the thread that hears it."""
+        """Apply records relayed by another entry; called on the receiving thread."""
         self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s)
 
     def schedule_read(self) -> None:
-        """Read the store once `reread_after_s` allows, in place of the next question.
+        """Read the store instead of the next query, once `reread_after_s` allows it.
 
-        In a quick succession of large versions, one read brings several of them.
+        When large versions follow each other quickly, one read returns several of them.
         """
-        if not self._read_next:
-            self._read_next = True
+        if not self._read_scheduled:
+            self._read_scheduled = True
             self._wake.set()
 
     def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
-        """Take records in; `whole` when they are the newest of every key.
+        """Apply records; a snapshot holds the newest record of every key.
 
-        Returns False when they make no sense, and are to be read again.
+        Returns False when they are invalid and must be read again.
         """
         raise NotImplementedError
 
     def on_read_failed(self) -> None:
-        """The store couldn't be read."""
+        """Handle a failed store read; does nothing by default."""
 
     def _apply_and_cache(
         self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
     ) -> bool:
-        with self._taking:
+        with self._apply_lock:
             if not self.apply(batch, is_snapshot=is_snapshot, sent_s=sent_s):
                 return False
             self.cache.put(batch, is_snapshot=is_snapshot, sent_s=sent_s)
             if batch.records:
-                self._news_s = max(self._news_s, sent_s)
+                self._last_records_s = max(self._last_records_s, sent_s)
             self._from_newest = False
             return True
 
@@ -173,14 +172,14 @@
             self._wake.clear()
 
     def run_once(self) -> float:
-        """Learn what is new and return the pause after it in seconds."""
+        """Query a peer or read the store; return the pause after it in seconds."""
         if self._relies_on_peers():
-            if not self._read_next:
+            if not self._read_scheduled:
                 self._relay.query_reader(self.topic)
-            return min(self.query_interval_s, self._relies_for_s())
+            return min(self.query_interval_s, self._relay_remaining_s())
         if self._failing:
-            # The store may turn this entry away and serve others; their answers
-            # come while its own read waits for its time to run out.
+            # The store may reject this entry and serve others. Their replies can
+            # arrive while this entry's own read is still waiting for its timeout.
             self._relay.query_any_peer(self.topic)
         if self.poll():
             return self._period_s()
@@ -190,14 +189,14 @@
     def _relies_on_peers(self) -> bool:
         if self._from_newest or not self._relay.is_follower():
             return False
-        return self._relies_for_s() > 0.0
+        return self._relay_remaining_s() > 0.0
 
-    def _relies_for_s(self) -> float:
-        """Return how long it may go on without a read of its own, in seconds."""
-        if not self._read_next:
-            return self._fresh_for_s()
-        news_age_s = self._clock.monotonic_s() - self._news_s
-        return min(self._fresh_for_s(), self.reread_after_s - news_age_s)
+    def _relay_remaining_s(self) -> float:
+        """Return how long no store read is needed, in seconds."""
+        if not self._read_scheduled:
+            return self._fresh_remaining_s()
+        records_age_s = self._clock.monotonic_s() - self._last_records_s
+        return min(self._fresh_remaining_s(), self.reread_after_s - records_age_s)
 
     def _read_reason(self) -> CallReason:
         if self._failing:
@@ -209,21 +208,21 @@
             return CallReason.ALONE
         if not self._relay.is_follower():
             return CallReason.READER
-        return CallReason.TOO_LARGE if self._read_next else CallReason.STALE
+        return CallReason.TOO_LARGE if self._read_scheduled else CallReason.STALE
 
     def _count_call(self, reason: CallReason) -> None:
         self._metrics.count(STORE_CALLS, f"{self.topic}:{reason.value}")
 
-    def _fresh_for_s(self) -> float:
-        """Return how long what is known may still be relied on, in seconds."""
+    def _fresh_remaining_s(self) -> float:
+        """Return the time until the cached state is stale, in seconds."""
         return self.stale_after_s - self.cache.age_s(self._clock.monotonic_s())
 
     def _long_poll_s(self) -> float:
-        """Return how long the store may hold a read, in seconds."""
+        """Return how long the store may hold a read for new records, in seconds."""
         return 0.0
 
     def _period_s(self) -> float:
-        """Return the time between two reads, in seconds."""
+        """Return the interval between reads, in seconds."""
         return 0.0
 
     def _note_failure(self, error: StoreError) -> None:
@@ -232,7 +231,7 @@
         self._failing = True
         self.on_read_failed()
 
-    def _answered(self) -> None:
+    def _note_success(self) -> None:
         if self._failing:
             log.info("store regained", topic=self.topic)
         self._failing = False
--- a/lavenderspoke/direct/records.py
+++ b/lavenderspoke/direct/records.py
@@ -1,4 +1,4 @@
-"""Records of a platform's log whose topics hold a value for each key."""
+"""Records of the platform's log, whose topics map keys to values."""
 
 from typing import Protocol
 
@@ -8,21 +8,21 @@
 
 @attrs.frozen(kw_only=True)
 class StoreError:
-    """A call without a good answer: it may have been carried out all the same."""
+    """A call without a valid response; the store may still have executed it."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
 class OffsetExpired:
-    """The records asked for are gone; reading goes on at `first_offset`."""
+    """The requested offset is past retention; the log now begins at `first_offset`."""
 
     first_offset: int
 
 
 @attrs.frozen(kw_only=True)
 class KeyedRecord:
-    """The record of a key; `value` is None where the key was dropped."""
+    """A record of a key; a `value` of None is a tombstone (the key was deleted)."""
 
     key: str
     value: bytes | None
@@ -31,9 +31,9 @@
 
 @attrs.frozen(kw_only=True)
 class RecordBatch:
-    """Records in order and the offset at which to read on.
+    """Records in offset order, and the offset of the next read.
 
-    `skipped` counts those that could not be decoded.
+    `skipped` counts records that could not be decoded.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -42,7 +42,7 @@
 
 
 class RecordStore(Protocol):
-    """A client of the log, for one thread."""
+    """A client of the log. Not thread-safe."""
 
     def newest(self, topic: str) -> Result[RecordBatch, StoreError]:
         """Return the newest record of each key of a topic."""
@@ -50,4 +50,4 @@
     def read(
         self, topic: str, from_offset: int, *, wait_s: float
     ) -> Result[RecordBatch | OffsetExpired, StoreError]:
-        """Return the records from an offset on, waiting for one up to `wait_s`."""
+        """Return records from an offset on, waiting up to `wait_s` seconds for one."""
