--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -1,4 +1,4 @@
-"""Many entries that tell each other what they share, driven without a network."""
+"""A simulation of many entries that exchange gossip, without a network."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 TICK_S = 0.02
 DELAYS_S = (0.001, 0.003)
-LOOK_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 SERVICE = "narrative"
 
 
@@ -37,7 +37,7 @@
 
 
 class Entry:
-    """An entry's decisions, with its part in the talk."""
+    """An entry's dispatch decisions and gossip."""
 
     def __init__(
         self,
@@ -61,19 +61,21 @@
             metrics=Metrics(),
         )
         self.dispatcher.upstreams_changed(upstreams)
-        self.talk = Dissemination(me=self.me, dispatcher=self.dispatcher, clock=clock)
+        self.dissemination = Dissemination(
+            me=self.me, dispatcher=self.dispatcher, clock=clock
+        )
         self.is_down = False
 
 
 class Fleet:
-    """Entries whose messages take a moment."""
+    """Entries whose messages are delivered with a delay."""
 
     def __init__(self, *, entries: int, data_centres: int, start_s: float = 0.0):
         self.clock = ManualClock()
         self.sent: Counter[str] = Counter()
-        self.passing_on: set[str] = set()
-        # Whether all heard all, by the time of each look.
-        self.looks: list[tuple[float, list[tuple[str, str]]]] = []
+        self.forwarding: set[str] = set()
+        # Time of each check, and the result of `not_live`.
+        self.checks: list[tuple[float, list[tuple[str, str]]]] = []
         self._events: list = []
         self._numbers = itertools.count()
         self._random = Random(11)
@@ -88,7 +90,7 @@
             self.entries[entry.me.name] = entry
             begin_s = start_s * number / entries
             self.at(begin_s, lambda entry=entry: self._start(entry, start_s > 0.0))
-        self.at(LOOK_EVERY_S, self._look)
+        self.at(CHECK_INTERVAL_S, self._check)
 
     @property
     def now_s(self) -> float:
@@ -103,7 +105,7 @@
         self.clock.advance(end_s - self.now_s)
 
     def restart(self, name: str) -> Entry:
-        """Start an entry anew; it has to learn everything."""
+        """Restart an entry without any state."""
         before = self.entries[name]
         before.is_down = True
         entry = Entry(
@@ -113,30 +115,30 @@
             seed=self._random.randrange(1000),
         )
         entry.me = InstanceId(name=name, incarnation=f"{before.me.incarnation}+")
-        entry.talk = Dissemination(
+        entry.dissemination = Dissemination(
             me=entry.me, dispatcher=entry.dispatcher, clock=self.clock
         )
         self.entries[name] = entry
         self._start(entry, only_earlier=False)
         return entry
 
-    def unheard(self) -> list[tuple[str, str]]:
-        """Return pairs of living entries of which one doesn't hear the other."""
-        living = {n: e for n, e in self.entries.items() if not e.is_down}
+    def not_live(self) -> list[tuple[str, str]]:
+        """Return pairs of running entries whose first sees the second as silent."""
+        running = {n: e for n, e in self.entries.items() if not e.is_down}
         return [
             (name, missing)
-            for name, entry in living.items()
-            for missing in living.keys()
+            for name, entry in running.items()
+            for missing in running.keys()
             - {name}
             - set(entry.dispatcher.live_peer_names())
         ]
 
-    def send(self, sender: Entry, letter, delay_s: float | None = None) -> None:
+    def send(self, sender: Entry, outgoing, delay_s: float | None = None) -> None:
         self.sent[sender.me.name] += 1
-        if getattr(letter.message, "to_neighbours", False):
-            self.passing_on.add(sender.me.name)
+        if getattr(outgoing.message, "to_neighbours", False):
+            self.forwarding.add(sender.me.name)
         delay_s = delay_s or self._random.uniform(*DELAYS_S)
-        self.at(self.now_s + delay_s, lambda: self._deliver(sender, letter))
+        self.at(self.now_s + delay_s, lambda: self._deliver(sender, outgoing))
 
     def at(self, at_s: float, work) -> None:
         heapq.heappush(self._events, (at_s, next(self._numbers), work))
@@ -157,19 +159,19 @@
             return
         self.at(self.now_s + TICK_S, lambda: self._tick(entry))
         if not entry.is_down:
-            for letter in entry.talk.tick():
-                self.send(entry, letter)
+            for outgoing in entry.dissemination.tick():
+                self.send(entry, outgoing)
 
-    def _deliver(self, sender: Entry, letter) -> None:
-        entry = self.entries[letter.name]
-        if entry.is_down or letter.address != entry.whereabouts.address:
+    def _deliver(self, sender: Entry, outgoing) -> None:
+        entry = self.entries[outgoing.name]
+        if entry.is_down or outgoing.address != entry.whereabouts.address:
             return
-        for further in entry.talk.receive(sender.me, letter.message):
+        for further in entry.dissemination.receive(sender.me, outgoing.message):
             self.send(entry, further)
 
-    def _look(self) -> None:
-        self.at(self.now_s + LOOK_EVERY_S, self._look)
-        self.looks.append((self.now_s, self.unheard()))
+    def _check(self) -> None:
+        self.at(self.now_s + CHECK_INTERVAL_S, self._check)
+        self.checks.append((self.now_s, self.not_live()))
 
 
 def begin_request(entry: Entry, number: int = 0) -> None:
@@ -192,12 +194,12 @@
 
 
 def known_within_s(fleet: Fleet) -> float:
-    """Return how long it takes until all know of a request that begins to run."""
-    asker, *others = fleet.entries.values()
-    begin_request(asker)
-    begun_s = fleet.now_s
-    line = {e.me.name: e.dispatcher._scheduler.queue(SERVICE) for e in others}
-    while any(line[e.me.name].pool.peer_requests() == 0 for e in others):
-        assert fleet.now_s < begun_s + LIVE_TIMEOUT_S, "not known to all"
+    """Return the time until all entries know of a request that starts to run."""
+    first, *others = fleet.entries.values()
+    begin_request(first)
+    started_s = fleet.now_s
+    queues = {e.me.name: e.dispatcher._scheduler.queue(SERVICE) for e in others}
+    while any(queues[e.me.name].pool.peer_requests() == 0 for e in others):
+        assert fleet.now_s < started_s + LIVE_TIMEOUT_S, "not known to all"
         fleet.run(0.005)
-    return fleet.now_s - begun_s
+    return fleet.now_s - started_s
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -1,9 +1,9 @@
-"""Steps about what many entries tell each other, without a network."""
+"""Steps about gossip between many entries, without a network."""
 
 from behave import given, then, when
 
 from features.entryfleet import (
-    LOOK_EVERY_S,
+    CHECK_INTERVAL_S,
     SERVICE,
     TICK_S,
     UPSTREAM,
@@ -19,7 +19,7 @@
 from lavenderspoke.direct.messages import PassedOn, SharedState
 from lavenderspoke.model import InstanceId
 
-# How late what an entry told before it left is passed on, in seconds.
+# Delay with which a state from before an entry left is forwarded, in seconds.
 LATE_S = 0.25
 REQUEST = accepted_request(resumable=False, attempts_max=1)
 
@@ -51,8 +51,7 @@
 
 
 @when(
-    "they run for {seconds:g} s, and for {busy_s:g} s more in which each runs requests "
-    "by turns"
+    "they run for {seconds:g} s, and for {busy_s:g} s more while each starts requests"
 )
 def step_busy(context, seconds, busy_s):
     for fleet in context.fleets:
@@ -64,10 +63,10 @@
             fleet.run(TICK_S)
 
 
-@when("they run for {seconds:g} s, and one that passes on is killed")
+@when("they run for {seconds:g} s, and one that forwards is killed")
 def step_kill(context, seconds):
     context.fleet.run(seconds)
-    name = min(context.fleet.passing_on)
+    name = min(context.fleet.forwarding)
     context.fleet.entries[name].is_down = True
 
 
@@ -84,7 +83,7 @@
     fleet.run(1.5)
 
 
-@when("they run for {seconds:g} s, and one leaves while what it told is on the way")
+@when("they run for {seconds:g} s, and one leaves while a state of it is in transit")
 def step_leave(context, seconds):
     fleet = context.fleet
     fleet.run(seconds)
@@ -94,15 +93,15 @@
         age_s=0.1,
         state=SharedState(address=entry.whereabouts.address, number=1_000_000),
     )
-    for letter in entry.talk.leave_messages():
-        fleet.send(entry, letter)
+    for outgoing in entry.dissemination.leave_messages():
+        fleet.send(entry, outgoing)
     entry.is_down = True
     fleet.run(LATE_S)
     for other in fleet.entries.values():
         other.dispatcher.receive_relayed_states((late,))
 
 
-@when("they run for {seconds:g} s, and one refuses a request each 10 ms for 1 s")
+@when("they run for {seconds:g} s, and one refuses a request every 10 ms for 1 s")
 def step_refuse(context, seconds):
     fleet = context.fleet
     fleet.run(seconds)
@@ -114,7 +113,8 @@
 
 
 @when(
-    "they run for {seconds:g} s, and one finds another upstream at the address of one"
+    "they run for {seconds:g} s, and one finds another upstream at an upstream's "
+    "address"
 )
 def step_finds(context, seconds):
     fleet = context.fleet
@@ -145,7 +145,7 @@
 
 
 def senders(context) -> set[str]:
-    """Have each entry ask for a place; return those that got one."""
+    """Submit a request at each entry; return the entries that got a slot for it."""
     sending = set()
     for name, entry in context.fleet.entries.items():
         begin_request(entry, 1)
@@ -166,7 +166,7 @@
     assert senders(context) == set(context.fleet.entries) - without
 
 
-@given("an entry that hears another one's second life")
+@given("an entry with state of the second incarnation of another")
 def step_second_life(context):
     context.clock = ManualClock()
     context.entry = Entry(
@@ -184,10 +184,10 @@
     quota = context.entry.dispatcher._quota
     quota.reconfigure((context.customer,), now_s=0.0)
     context.clock.advance(20.0)
-    hear(context, "1", number=900, used=0.0)
-    hear(context, "1", number=901, used=300.0)
-    hear(context, "2", number=1, used=0.0)
-    hear(context, "2", number=2, used=50.0)
+    receive_state(context, "1", number=900, used=0.0)
+    receive_state(context, "1", number=901, used=300.0)
+    receive_state(context, "2", number=1, used=0.0)
+    receive_state(context, "2", number=2, used=50.0)
 
 
 def state_of(number: int, used: float) -> SharedState:
@@ -195,12 +195,12 @@
     return SharedState(address="tcp://entry-1:1", number=number, spent=spent)
 
 
-def hear(context, incarnation: str, *, number: int, used: float) -> None:
+def receive_state(context, incarnation: str, *, number: int, used: float) -> None:
     sender = InstanceId(name="entry-1", incarnation=incarnation)
     context.entry.dispatcher.receive_state(sender, state_of(number, used))
 
 
-@when("what the first life told is passed on to it")
+@when("a state of the first incarnation is forwarded to it")
 def step_passed_on(context):
     late = PassedOn(
         sender=InstanceId(name="entry-1", incarnation="1"),
@@ -208,44 +208,47 @@
         state=state_of(905, 300.0),
     )
     context.entry.dispatcher.receive_relayed_states((late,))
-    hear(context, "2", number=3, used=60.0)
+    receive_state(context, "2", number=3, used=60.0)
 
 
-@then("it still knows the second life, and what that uses counts once")
+@then("it keeps the state of the second incarnation, whose usage counts once")
 def step_once(context):
     usage = context.entry.dispatcher._quota._usages["tours"]
     assert usage.used() == 300.0 + 60.0, usage.used()
 
 
-@then("for the last {seconds:g} s each heard every other")
+@then("for the last {seconds:g} s each saw every other as live")
 def step_each_heard(context, seconds):
     since_s = context.fleet.now_s - seconds
-    looks = [look for look in context.fleet.looks if look[0] >= since_s]
-    assert len(looks) >= seconds / LOOK_EVERY_S - 1, len(looks)
-    broken = [(at_s, len(pairs), pairs[:3]) for at_s, pairs in looks if pairs]
+    checks = [each for each in context.fleet.checks if each[0] >= since_s]
+    assert len(checks) >= seconds / CHECK_INTERVAL_S - 1, len(checks)
+    broken = [(at_s, len(pairs), pairs[:3]) for at_s, pairs in checks if pairs]
     assert not broken, broken[:5]
 
 
-@then("each hears every other")
+@then("each sees every other as live")
 def step_each_hears(context):
-    assert context.fleet.unheard() == [], context.fleet.unheard()[:5]
+    assert context.fleet.not_live() == [], context.fleet.not_live()[:5]
 
 
-@then("a request that begins to run is known to all within {limit_ms:d} ms")
+@then("a request that starts to run is known to all within {limit_ms:d} ms")
 def step_known(context, limit_ms):
     took_s = known_within_s(context.fleet)
     assert took_s <= limit_ms / 1000.0, took_s
 
 
-@then("a request that begins to run is known to all of the more within {limit_ms:d} ms")
+@then(
+    "a request that starts to run is known to all of the larger fleet within "
+    "{limit_ms:d} ms"
+)
 def step_known_more(context, limit_ms):
     took_s = known_within_s(context.fleets[1])
     assert took_s <= limit_ms / 1000.0, took_s
 
 
 @then(
-    "each of the more sends at most {times:g} times as many messages as each of the "
-    "fewer"
+    "each of the larger fleet sends at most {times:g} times as many messages as in the "
+    "smaller"
 )
 def step_messages(context, times):
     few, many = (
@@ -254,7 +257,7 @@
     assert many <= few * times, (few, many)
 
 
-@then("nobody knows the one that left")
+@then("no entry knows the one that left")
 def step_nobody_knows(context):
     left = context.left.me.name
     knowing = [
@@ -265,7 +268,7 @@
     assert not knowing, knowing
 
 
-@then("each entry expects all that were refused back")
+@then("each entry expects retries of all refused requests")
 def step_expected(context):
     for name, entry in context.fleet.entries.items():
         missing = set(context.refused) - entry.dispatcher._resubmissions._first_s.keys()
--- a/lavenderspoke/direct/dissemination.py
+++ b/lavenderspoke/direct/dissemination.py
@@ -1,9 +1,9 @@
-"""What an entry tells the others, whom, and when.
+"""Decides which gossip messages an entry sends, to whom and when.
 
-Neighbours are told what this entry shares each 20 to 60 ms while it changes. What
-neighbours told is passed on to the other groups each 80 ms and more; `topology` says
-by whom. Others are told directly only when they are first known, so that each knows of
-each, and when this entry leaves.
+While its state changes, an entry sends it to its neighbours every 20 to 60 ms. States
+of a group are forwarded to the other groups at intervals of 60 ms or more; `topology`
+decides by which entry. Other entries get a state directly only when they first become
+known, so that all entries know each other, and when this entry leaves.
 """
 
 import threading
@@ -23,23 +23,23 @@
 from lavenderspoke.direct.topology import GossipTopology
 from lavenderspoke.model import InstanceId
 
-# So many neighbours more make it one tick longer between two messages to them: each
-# message goes to all, so what a group sends grows with its square.
+# Number of neighbours that adds one tick to the interval between messages to them: each
+# message goes to all of them, so a group's traffic grows with the square of its size.
 NEIGHBOURS_PER_TICK = 6
-# Ticks between two messages while nothing changes.
-QUIET_TICKS = 15
-# Ticks between two times of passing on, and so many entries for one more: who is told
-# takes apart what all entries say.
-PASS_ON_TICKS = 3
-ENTRIES_PER_PASS_ON_TICK = 24
-# The most ticks between them. With a message that is due each 15 ticks while nothing
-# changes, an entry is heard well before it counts as silent.
-PASS_ON_TICKS_MAX = 15
+# Ticks between messages while the state doesn't change.
+IDLE_TICKS = 15
+# Minimum ticks between forwarded messages, and the number of entries that adds one
+# tick: a recipient has to process the states of all entries.
+FORWARD_TICKS_MIN = 3
+ENTRIES_PER_FORWARD_TICK = 24
+# Maximum ticks between forwarded messages. Added to the at most 15 ticks between an
+# entry's own messages, it is well below the time after which it counts as silent.
+FORWARD_TICKS_MAX = 15
 
 
 @attrs.frozen(kw_only=True)
 class OutgoingMessage:
-    """A message for one entry."""
+    """A message to one entry."""
 
     name: str
     address: str
@@ -48,17 +48,17 @@
 
 @attrs.frozen(kw_only=True)
 class _Pending:
-    """What a neighbour told since the last time of passing on, and when."""
+    """A state received since the last forwarding, and when."""
 
     sender: InstanceId
-    at_s: float
+    received_s: float
     state: SharedState
 
 
 class Dissemination:
-    """An entry's part in the talk between entries.
+    """An entry's side of the gossip protocol, without input and output.
 
-    `tick` and `leave_messages` belong to one thread, `receive` may be called from
+    `tick` and `leave_messages` are called on one thread; `receive` may be called on
     another.
     """
 
@@ -66,131 +66,135 @@
         self._me = me
         self._dispatcher = dispatcher
         self._clock = clock
-        self._spreading = GossipTopology(
+        self._topology = GossipTopology(
             name=me.name, data_centre=dispatcher.whereabouts.data_centre
         )
         self._ticks = 0
-        self._quiet_ticks = 0
+        self._idle_ticks = 0
         self._number = 0
-        self._told: SharedState | None = None
-        self._greeted: set[tuple[str, EntryLocation]] = set()
+        self._last_sent: SharedState | None = None
+        self._contacted: set[tuple[str, EntryLocation]] = set()
         self._pending: dict[str, _Pending] = {}
         self._lock = threading.Lock()
 
     def tick(self) -> list[OutgoingMessage]:
-        """Serve the lines again and return what is to be told now."""
+        """Run the dispatcher's periodic work and return the messages due now."""
         self._ticks += 1
         self._dispatcher.tick()
         known = self._dispatcher.known_peers()
-        self._spreading.update({name: each.data_centre for name, each in known.items()})
-        letters = []
-        own_ticks = 1 + len(self._spreading.neighbours) // NEIGHBOURS_PER_TICK
+        self._topology.update({name: each.data_centre for name, each in known.items()})
+        outgoing = []
+        own_ticks = 1 + len(self._topology.neighbours) // NEIGHBOURS_PER_TICK
         if self._ticks % own_ticks == 0:
-            letters += self._own_news(known, own_ticks)
+            outgoing += self._own_messages(known, own_ticks)
         if (
-            self._spreading.other_groups
-            and self._ticks % _pass_on_ticks(len(known)) == 0
+            self._topology.other_groups
+            and self._ticks % _forward_ticks(len(known)) == 0
         ):
-            letters += self._pass_on(known)
-        return letters
+            outgoing += self._forward(known)
+        return outgoing
 
     def leave_messages(self) -> list[OutgoingMessage]:
-        """Return what all others are told when this entry leaves."""
+        """Return the messages that announce that this entry is leaving."""
         state, *evidence = self._dispatcher.outgoing_updates(leaving=True)
         known = self._dispatcher.known_peers()
         messages = (self._numbered(state), *evidence)
-        return [letter for each in messages for letter in _letters(each, known)]
+        return [outgoing for each in messages for outgoing in _messages_to(each, known)]
 
     def receive(
         self, sender: InstanceId, message: SharedState | GroupStates
     ) -> list[OutgoingMessage]:
-        """Take in what another entry tells; return what is to be passed on at once."""
+        """Apply a message from another entry; return messages to forward at once."""
         if isinstance(message, GroupStates):
             self._dispatcher.receive_relayed_states(message.states)
-            return self._to_neighbours(message)
-        is_news = self._dispatcher.receive_state(sender, message)
-        if is_news and sender.name in self._spreading.neighbours:
-            self._note(sender, message)
+            return self._forward_to_neighbours(message)
+        is_new = self._dispatcher.receive_state(sender, message)
+        if is_new and sender.name in self._topology.neighbours:
+            self._add_pending(sender, message)
         return []
 
-    def _own_news(
+    def _own_messages(
         self, known: Mapping[str, EntryLocation], ticks: int
     ) -> list[OutgoingMessage]:
         state, *evidence = self._dispatcher.outgoing_updates(leaving=False)
-        self._quiet_ticks += ticks
-        recipients = self._strangers(known)
-        if state != self._told or self._quiet_ticks >= QUIET_TICKS:
-            self._told = state
-            self._quiet_ticks = 0
-            recipients |= _named(self._spreading.neighbours, known)
-        letters = []
+        self._idle_ticks += ticks
+        recipients = self._new_peers(known)
+        if state != self._last_sent or self._idle_ticks >= IDLE_TICKS:
+            self._last_sent = state
+            self._idle_ticks = 0
+            recipients |= _locations(self._topology.neighbours, known)
+        outgoing = []
         if recipients:
             numbered = self._numbered(state)
-            letters += _letters(numbered, recipients)
-            self._note(self._me, numbered)
+            outgoing += _messages_to(numbered, recipients)
+            self._add_pending(self._me, numbered)
         for each in evidence:
-            letters += _letters(each, known)
-        return letters
+            outgoing += _messages_to(each, known)
+        return outgoing
 
-    def _strangers(
+    def _new_peers(
         self, known: Mapping[str, EntryLocation]
     ) -> dict[str, EntryLocation]:
-        """Return those that this entry has never told anything, for the last time.
+        """Return the peers that are new, or have moved, since the last call.
 
-        The platform names to an entry only those that were there before it. Without a
-        word from it, those would learn of each other only by their next read.
+        The platform lists to an entry only those that started before it. Unless it
+        contacts them, they would discover it only with their next read of that list.
         """
-        met = set(known.items())
-        strangers = dict(met - self._greeted)
-        self._greeted = met
-        return strangers
+        current = set(known.items())
+        new_peers = dict(current - self._contacted)
+        self._contacted = current
+        return new_peers
 
     def _numbered(self, state: SharedState) -> SharedState:
         self._number += 1
         return attrs.evolve(state, number=self._number)
 
-    def _note(self, sender: InstanceId, state: SharedState) -> None:
-        """Keep what is to be passed on; news of the message before must not be lost."""
+    def _add_pending(self, sender: InstanceId, state: SharedState) -> None:
+        """Keep a state to be forwarded, with the events of the one it replaces."""
         with self._lock:
             before = self._pending.get(sender.name)
             if before is not None and before.sender == sender:
-                state = _joined(before.state, state)
+                state = _combined(before.state, state)
             self._pending[sender.name] = _Pending(
-                sender=sender, at_s=self._clock.monotonic_s(), state=state
+                sender=sender, received_s=self._clock.monotonic_s(), state=state
             )
 
-    def _pass_on(self, known: Mapping[str, EntryLocation]) -> list[OutgoingMessage]:
-        """Return what this entry's group told, for those groups that it speaks to."""
+    def _forward(self, known: Mapping[str, EntryLocation]) -> list[OutgoingMessage]:
+        """Return the messages with this group's pending states for other groups."""
         with self._lock:
             pending, self._pending = self._pending, {}
-        speaking = set(self._dispatcher.direct_peer_names())
-        heard = set(self._dispatcher.live_peer_names())
+        direct_peers = set(self._dispatcher.direct_peer_names())
+        live_peers = set(self._dispatcher.live_peer_names())
         groups = [
             group
-            for group in self._spreading.other_groups
-            if self._spreading.forwards_to(group, speaking)
+            for group in self._topology.other_groups
+            if self._topology.forwards_to(group, direct_peers)
         ]
         if not pending or not groups:
             return []
         now_s = self._clock.monotonic_s()
         states = tuple(
-            PassedOn(sender=each.sender, age_s=now_s - each.at_s, state=each.state)
+            PassedOn(
+                sender=each.sender, age_s=now_s - each.received_s, state=each.state
+            )
             for each in pending.values()
         )
         message = GroupStates(states=states, to_neighbours=True)
-        listeners = [self._spreading.next_recipient(group, heard) for group in groups]
-        return _letters(message, _named([n for n in listeners if n], known))
+        recipients = [
+            self._topology.next_recipient(group, live_peers) for group in groups
+        ]
+        return _messages_to(message, _locations([n for n in recipients if n], known))
 
-    def _to_neighbours(self, message: GroupStates) -> list[OutgoingMessage]:
+    def _forward_to_neighbours(self, message: GroupStates) -> list[OutgoingMessage]:
         if not message.to_neighbours:
             return []
         known = self._dispatcher.known_peers()
         message = attrs.evolve(message, to_neighbours=False)
-        return _letters(message, _named(self._spreading.neighbours, known))
+        return _messages_to(message, _locations(self._topology.neighbours, known))
 
 
-def _joined(before: SharedState, after: SharedState) -> SharedState:
-    """Return the later of two states, with the news of the earlier one."""
+def _combined(before: SharedState, after: SharedState) -> SharedState:
+    """Return the later of two states, with the events of both."""
     return attrs.evolve(
         after,
         spent=before.spent | after.spent,
@@ -201,17 +205,19 @@
     )
 
 
-def _pass_on_ticks(entries: int) -> int:
-    return min(PASS_ON_TICKS_MAX, PASS_ON_TICKS + entries // ENTRIES_PER_PASS_ON_TICK)
+def _forward_ticks(entries: int) -> int:
+    return min(
+        FORWARD_TICKS_MAX, FORWARD_TICKS_MIN + entries // ENTRIES_PER_FORWARD_TICK
+    )
 
 
-def _named(
+def _locations(
     names: Iterable[str], known: Mapping[str, EntryLocation]
 ) -> dict[str, EntryLocation]:
     return {name: known[name] for name in names if name in known}
 
 
-def _letters(
+def _messages_to(
     message: DirectMessage, recipients: Mapping[str, EntryLocation]
 ) -> list[OutgoingMessage]:
     return [
--- a/lavenderspoke/direct/gossip.py
+++ b/lavenderspoke/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Sends what an entry tells the others, and hears what they tell."""
+"""Exchanges gossip messages with the other entries."""
 
 import threading
 from collections.abc import Callable
@@ -22,15 +22,15 @@
 from lavenderspoke.poison import CrashEvidence
 from lavenderspoke.transport import Transport
 
-# Time between two looks at the lines, in seconds: how late a request learns that
-# its time in line is up, or that a peer's place came free.
+# Interval between ticks, in seconds. It bounds how late a queued request learns that
+# its time in the queue is up, or gets a slot that a peer has released.
 TICK_S = 0.02
 
 log = logbook.Logger(__name__)
 
 
 class Gossip:
-    """The part of an entry that keeps it in step with the others."""
+    """The part of an entry that shares its state with the others."""
 
     def __init__(
         self,
@@ -57,20 +57,20 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listen, and begin to tell."""
+        """Start listening and sending."""
         self._stopping.clear()
         self._transport.start()
         thread = threading.Thread(target=self._run, name="gossip", daemon=True)
         try:
             thread.start()
         except RuntimeError:
-            # Left open, it would hold the address against the next try.
+            # Left open, it would keep the address in use at the next attempt.
             self._transport.close()
             raise
         self._thread = thread
 
     def stop(self) -> None:
-        """Tell the others that this entry leaves, and hang up."""
+        """Announce that this entry is leaving, and close all connections."""
         self._stopping.set()
         if self._thread not in (None, threading.current_thread()):
             self._thread.join()
@@ -78,12 +78,12 @@
         self._transport.close()
 
     def alive(self) -> bool:
-        """Return whether the others are being heard and told."""
+        """Return whether messages are being sent and received."""
         running = self._thread is not None and self._thread.is_alive()
         return running and self._transport.alive()
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send one entry a message; it is dropped if that can't be reached."""
+        """Send a message to one entry; dropped if that entry can't be reached."""
         peer = self._dispatcher.known_peers().get(name)
         if peer is not None:
             self._send(
@@ -97,28 +97,28 @@
                 for address in self._dispatcher.forget_gone_peers():
                     self._transport.forget(address)
             except Exception:
-                # The lines must go on being served, whatever one tick met.
+                # An error in one tick must not stop the queues from being served.
                 log.exception("tick failed")
 
-    def _send_all(self, letters: list[OutgoingMessage]) -> None:
-        for letter in letters:
-            self._send(letter)
+    def _send_all(self, messages: list[OutgoingMessage]) -> None:
+        for message in messages:
+            self._send(message)
 
-    def _send(self, letter: OutgoingMessage) -> None:
-        recipient = InstanceId(name=letter.name, incarnation="")
+    def _send(self, outgoing: OutgoingMessage) -> None:
+        recipient = InstanceId(name=outgoing.name, incarnation="")
         envelope = Envelope(
-            sender=self._me, recipient=recipient, message=letter.message
+            sender=self._me, recipient=recipient, message=outgoing.message
         )
         try:
-            sent = self._transport.send(letter.address, envelope)
+            sent = self._transport.send(outgoing.address, envelope)
         except pynng.NNGException as error:
-            log.warning("peer can't be told", peer=letter.name, error=str(error))
+            log.warning("sending to peer failed", peer=outgoing.name, error=str(error))
             sent = False
         self._metrics.count("gossip", "sent" if sent else "dropped")
 
     def _on_message(self, envelope: Envelope) -> None:
         if envelope.recipient.name != self._me.name:
-            # An address may have been given to another entry.
+            # The address may have been reassigned to this entry.
             self._metrics.count("gossip", "misdirected")
             return
         message = envelope.message
--- a/lavenderspoke/direct/messages.py
+++ b/lavenderspoke/direct/messages.py
@@ -1,6 +1,6 @@
-"""The messages that entries which dispatch directly send each other.
+"""Messages between entries that use direct dispatch.
 
-Each is one way and may be lost, late, doubled or out of order.
+All are one-way, and may be lost, delayed, duplicated or reordered.
 """
 
 import attrs
@@ -12,12 +12,12 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutNews:
-    """What an entry saw of a service's roll-out, in all since it started.
+    """An entry's totals for a service's roll-out, since the entry started.
 
-    `number` names the order and `stage` how far the entry knows it to be; it has known
-    of it for `elapsed_s`. It sent `requests` to the service, `to_target` of them to the
-    target. `routes` are rows of route, answers of the target and how many of them were
-    bad, and the same of the other versions.
+    `number` identifies the order, `stage` is the latest stage that the entry knows, and
+    `elapsed_s` how long it has known of the order. It sent `requests` to the service,
+    `to_target` of them to the target version. Rows of `routes` are route, responses and
+    bad responses of the target, and responses and bad responses of other versions.
     """
 
     service: str
@@ -31,22 +31,25 @@
 
 @attrs.frozen(kw_only=True)
 class SharedState:
-    """An entry that dispatches directly tells the others what they share.
-
-    `running` maps upstream to the requests it has running there and their unread
-    prompt tokens; `waiting` and `held` map service to rows of customer rank, route
-    rank and count, of requests in line and at upstreams; `spent` maps customer to
-    rows of route rank, what the entry let through since it started and what was asked
-    for, without those customers for which that is known; `rollouts` tells of the
-    services whose version changes.
-
-    What has happened since the last message: `refused` are the fingerprints of requests
-    refused, whose callers may come back anywhere; `gone` are upstreams at whose address
-    another one was found; `unreached` are those to which a connection failed; `failing`
-    are those left alone because they fail more than the others of their service.
-
-    `number` counts the messages of one life of the entry: a state may come by several
-    ways, and the older one must not replace the newer.
+    """The state that an entry shares with the others.
+
+    - `running`: upstream to the entry's in-flight requests there and their prompt
+      tokens still to be prefilled.
+    - `waiting`, `held`: service to rows of customer rank, route rank and number of
+      requests, for those queued (`waiting`) and those at upstreams (`held`).
+    - `spent`: customer to rows of route rank, and the cost admitted and requested since
+      the entry started. Customers without a change may be left out.
+    - `rollouts`: the services whose version is being changed.
+
+    Events since the last message:
+
+    - `refused`: fingerprints of refused requests, which may be retried at any entry.
+    - `gone`: upstreams at whose address another upstream was found.
+    - `unreached`: upstreams to which a connection failed.
+    - `failing`: upstreams ejected because they fail more than others of their service.
+
+    `number` counts the messages of one incarnation of the entry. A state can arrive on
+    several paths, and an older one must not replace a newer one.
     """
 
     address: str
@@ -66,9 +69,9 @@
 
 @attrs.frozen(kw_only=True)
 class PassedOn:
-    """What an entry told, as another one passes it on `age_s` later.
+    """An entry's state, forwarded `age_s` seconds after another entry received it.
 
-    Of several messages it is the last, with the news of all.
+    Several states of an entry are combined into the last one, with the events of all.
     """
 
     sender: InstanceId
@@ -78,9 +81,9 @@
 
 @attrs.frozen(kw_only=True)
 class GroupStates:
-    """An entry passes on what its neighbours and itself told.
+    """States of an entry and its neighbours, forwarded to another group.
 
-    With `to_neighbours` the one that gets it passes it on to its own neighbours.
+    With `to_neighbours`, the recipient forwards them to its own neighbours.
     """
 
     states: tuple[PassedOn, ...]
@@ -89,11 +92,11 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsAsked:
-    """An entry asks another what that knows of a topic of the platform's log.
+    """Queries another entry for its records of a topic of the platform's log.
 
-    `from_offset` is where the asker would read on, -1 when it knows nothing yet.
-    `asked_s` is on the asker's clock and comes back with the answer. `in_full` asks
-    for records of any size, since the asker can't read the log.
+    `from_offset` is the offset of the sender's next read, -1 before its first one.
+    `asked_s` is the send time on the sender's clock and is returned in the reply.
+    `in_full` requests records of any size, since the sender can't read the log.
     """
 
     topic: str
@@ -104,13 +107,13 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsTold:
-    """An entry's answer: the newest record of each key since the offset asked for.
+    """The reply to a query: the newest record of each key since the queried offset.
 
-    `age_s` is the time since the log was asked for what this says; the asker counts
-    it back from `asked_s`, since the answer was put together after that. Records
-    are rows of key, value and offset, in order; the value is None where the key was
-    dropped. With `whole` these are all keys there are. With `too_large` there are
-    records that the asker had better read from the log itself.
+    `age_s` is the time since the log read behind it was sent, in seconds. The receiver
+    subtracts it from `asked_s`, since the reply was composed later than that. Records
+    are rows of key, value and offset, in offset order; a value of None is a tombstone.
+    With `whole` they are a snapshot of all keys. With `too_large` the records are left
+    out, and the receiver should read them from the log.
     """
 
     topic: str
@@ -124,9 +127,9 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsNews:
-    """An entry tells that it has read records of a topic up to an offset.
+    """Notifies other entries that the sender has read a topic up to an offset.
 
-    Who knows less asks for them, which spares those that know them the bytes.
+    Only an entry that is behind queries the records, which saves traffic for the rest.
     """
 
     topic: str
