--- a/features/direct_start.feature
+++ b/features/direct_start.feature
@@ -1,33 +1,33 @@
-Feature: The first moments of an entry that dispatches directly
-  After a fault that ends all entries at once, callers stand at the ports of all of
-  them while they start.
+Feature: Startup of an entry that uses direct dispatch
+  After a failure of all entries at once, callers are already connecting to their ports
+  while they start.
 
   Scenario: A caller connects while the entry still loads its libraries
-    Nothing but the port is there yet. Refused, the caller would have used its only
-    retry by the time that the entry serves, half a second later.
-    Given a port that is listened on before a server is there
-    When a caller sends a request, and a server takes the port over 0.3 s later
-    Then the caller gets its answer
+    Only the port is open at that time. If the connection were refused, the caller would
+    have used up its only retry before the entry serves, half a second later.
+    Given a port with a listening socket and no server yet
+    When a caller sends a request, and a server takes over the socket 0.3 s later
+    Then the caller gets its response
 
   Scenario: The daemon is loaded as quickly as its libraries allow
-    Every caller of an instance waits while it loads. What is loaded stays until the
-    end, so looking for garbage meanwhile is in vain, and so is a look through the
-    packages of the machine: all that the daemon needs lies beside it.
+    All callers of an instance wait while it loads. Loaded modules stay in memory, so
+    garbage collection during the load finds nothing. Searching the machine's
+    site-packages is also useless, since the daemon's libraries are installed beside it.
     When the daemon is loaded without the machine's packages
-    Then no garbage was looked for meanwhile, and it is from then on
-    And the deployed command loads it so
+    Then no garbage collection ran during the load, and it is enabled afterwards
+    And the deployed command loads it that way
 
-  Scenario: Callers come while the link to the other entries is still loaded
-    The link's libraries take a sixth of a start. Callers wait at the port for them too
-    unless they are loaded beside the first requests.
+  Scenario: Callers arrive while the link to the other entries is still loading
+    The link's libraries take a sixth of the startup time. Callers at the port wait for
+    them too unless they are loaded while the first requests are served.
     Given a link to the other entries that takes a while to load
     When its part is started
-    Then the part is alive at once, and what is told meanwhile is dropped
+    Then the part is alive at once, and messages sent before the load are dropped
     When the link has been loaded
-    Then it was started once, and what is told then is sent
+    Then it was started once, and later messages are sent
 
-  Scenario: A stop comes while the link to the other entries is still loaded
-    Started after the stop, the link would tell the others of an entry that has gone.
+  Scenario: The entry is stopped while the link to the other entries is still loading
+    If it were started after the stop, it would announce an entry that has ended.
     Given a link to the other entries that takes a while to load
     When its part is started
     And its part is stopped, and the link has been loaded
@@ -37,35 +37,36 @@
     Given a link to the other entries that fails at first
     When its part is started
     And the link has been loaded
-    Then the part is dead, and alive when it is started once more
+    Then the part is dead, and alive after it is started again
 
   Scenario: A settings file that can't be read
-    Then nothing is listened on, and the daemon says what is wrong
+    Then no socket is opened, and the daemon reports the error
 
-  Scenario: A request comes before the first configuration
+  Scenario: A request arrives before the first configuration
     Given an entry that has just started
-    When a request comes and the entry knows enough 0.2 s later
-    Then the request was held for 0.2 s, and the next one isn't held at all
+    When a request arrives and the entry's initial state is complete 0.2 s later
+    Then the request was held for 0.2 s, and the next one isn't held
 
-  Scenario: The store doesn't answer at the start
-    Its caller is told soon that nothing is known here, not after seconds.
+  Scenario: The store doesn't respond at startup
+    The request must be refused soon because the entry has no configuration, not after
+    seconds.
     Given an entry that has just started
-    When a request comes and the entry never knows enough
-    Then the request was held for 0.8 s, and the next one isn't held at all
+    When a request arrives and the entry's initial state is never complete
+    Then the request was held for 0.8 s, and the next one isn't held
 
-  Scenario: The store turns an entry away right after its first configuration
-    The entry's own record isn't written yet, so no other entry knows of it, and none
-    can tell it what the store says. Ready already, it would serve for as long as keys
-    last without a read, and then refuse all requests with a key.
+  Scenario: The store rejects an entry right after its first configuration
+    Its own record isn't written yet, so no other entry knows of it or can relay records
+    to it. If it were ready already, it would serve until its last read is too old for
+    API keys, and then refuse all requests with a key.
     Given an entry that has just started
-    Then it isn't ready until it knows enough, or has had 0.8 s for that
+    Then it isn't ready until its initial state is complete or 0.8 s have passed
 
-  Scenario: One customer's requests wait at all entries while these start
-    The pattern: five entries without power for a second come back together, and each
-    finds a dozen requests of the customer with the most traffic at its port. Nothing
-    is known of the window before, so only what is tolerated beyond the limit may pass,
-    in all; entries that hear each other at once haven't heard yet what each let through.
+  Scenario: One customer's requests wait at all entries while they start
+    Five entries restart together after a power loss of a second, each with a dozen
+    requests of the busiest customer at its port. Usage in the window before is unknown,
+    so in total only the tolerance above the limit may pass. Entries that
+    receive each other's state at once don't know yet how much each of them let through.
     Given 5 entries that start together, a limit of 1000 a second and 2000 tolerated
-    When 12 requests of 100 come to each in the first instant
-    Then at most 2000 pass in all, and at least 500
-    And after 1.2 s an entry may give out a whole bucket alone
+    When 12 requests of 100 tokens arrive at each entry at the same time
+    Then at most 2000 tokens pass in total, and at least 500
+    And after 1.2 s a single entry may admit a full bucket
--- a/features/direct_stop.feature
+++ b/features/direct_stop.feature
@@ -1,24 +1,24 @@
-Feature: The stop of an entry that dispatches directly
-  The server is held at the point where a busy machine would leave it for a while.
+Feature: Shutdown of an entry that uses direct dispatch
+  The server is paused at a point where a busy machine could suspend it.
 
   Scenario: The last chunk of a stream isn't written yet
-    Guards against a process that ends between a stream's last event and its end.
-    Given an entry whose server is held before the last chunk of a stream
-    When a caller sends a request, and the entry is told to stop
-    Then the entry is still there when its time to turn callers away has passed
-    When its server goes on
-    Then the caller gets its whole stream, and the entry ends
+    Guards against an exit between a stream's last event and its final chunk.
+    Given an entry whose server is paused before the last chunk of a stream
+    When a caller sends a request, and the entry gets the stop signal
+    Then the entry is still running after it stopped accepting requests
+    When its server continues
+    Then the caller gets its complete stream, and the entry exits
 
   Scenario: A request waits for a thread
-    Guards against a process that ends while a request that came in time has no thread.
-    Given an entry whose server has no thread free
-    When a caller sends a request, and the entry is told to stop
-    Then the entry is still there when its time to turn callers away has passed
-    When its server goes on
-    Then the caller gets its whole stream, and the entry ends
+    Guards against an exit while a request that arrived in time has no thread yet.
+    Given an entry whose server has no free thread
+    When a caller sends a request, and the entry gets the stop signal
+    Then the entry is still running after it stopped accepting requests
+    When its server continues
+    Then the caller gets its complete stream, and the entry exits
 
-  Scenario: A caller has connected and says nothing
-    Guards against a stop that waits for callers that only hold a connection.
-    Given an entry with a caller that has said nothing
-    When the entry is told to stop, and its time to turn callers away has passed
-    Then the entry ends
+  Scenario: A caller has connected without sending a request
+    Guards against a shutdown that waits for idle connections.
+    Given an entry with a caller that has sent nothing
+    When the entry gets the stop signal, and stops accepting requests
+    Then the entry exits
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the first moments of an entry that dispatches directly."""
+"""Steps about the startup of an entry that uses direct dispatch."""
 
 import pathlib
 import socket
@@ -30,8 +30,8 @@
 
 ANSWER_WAIT_S = 5.0
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# Prints how often garbage was looked for during the load, whether it will be later,
-# and whether what was loaded is left out then.
+# Prints the number of garbage collections during the load, whether collection is
+# enabled afterwards, and whether the loaded objects are frozen.
 LOAD = """
 import gc
 from lavenderspoke.platform import __main__ as main
@@ -51,12 +51,12 @@
 
 
 class SlowLink:
-    """A link that is loaded when it is let go, and notes what it is asked."""
+    """A link that loads once `go` is set, and records calls."""
 
     def __init__(self, *, failures: int = 0):
         self.go = threading.Event()
         self.starts = 0
-        self.told: list[str] = []
+        self.sent_to: list[str] = []
         self._failures = failures
         self._running = False
 
@@ -78,7 +78,7 @@
         return self._running
 
     def send_to_peer(self, name, message) -> None:
-        self.told.append(name)
+        self.sent_to.append(name)
 
 
 @given("a link to the other entries that takes a while to load")
@@ -110,17 +110,17 @@
     step_link_loaded(context)
 
 
-@then("the part is alive at once, and what is told meanwhile is dropped")
+@then("the part is alive at once, and messages sent before the load are dropped")
 def step_alive_at_once(context):
     assert context.part.alive()
     context.part.send_to_peer("entry-2", None)
-    assert context.link.told == []
+    assert context.link.sent_to == []
 
 
-@then("it was started once, and what is told then is sent")
+@then("it was started once, and later messages are sent")
 def step_started_once(context):
     context.part.send_to_peer("entry-2", None)
-    assert context.link.starts == 1 and context.link.told == ["entry-2"]
+    assert context.link.starts == 1 and context.link.sent_to == ["entry-2"]
     context.part.stop()
     assert not context.part.alive()
 
@@ -130,7 +130,7 @@
     assert context.link.starts == 0 and not context.part.alive()
 
 
-@then("the part is dead, and alive when it is started once more")
+@then("the part is dead, and alive after it is started again")
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
@@ -153,19 +153,19 @@
     context.loaded = done.stdout.split()
 
 
-@then("no garbage was looked for meanwhile, and it is from then on")
+@then("no garbage collection ran during the load, and it is enabled afterwards")
 def step_garbage(context):
     assert context.loaded == ["0", "True", "True"], context.loaded
 
 
-@then("the deployed command loads it so")
+@then("the deployed command loads it that way")
 def step_deployed(context):
     deployed = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     command = deployed["roles"]["entry"]["run"].split()
     assert command == ["python3", "-S", "-m", "lavenderspoke.platform"]
 
 
-@given("a port that is listened on before a server is there")
+@given("a port with a listening socket and no server yet")
 def step_port(context):
     context.port = free_port()
     path = settings_file(context, f"listen.frontend={HOST}:{context.port}\n")
@@ -178,7 +178,9 @@
     return [b"hello"]
 
 
-@when("a caller sends a request, and a server takes the port over {seconds:g} s later")
+@when(
+    "a caller sends a request, and a server takes over the socket {seconds:g} s later"
+)
 def step_take_over(context, seconds):
     caller = socket.create_connection((HOST, context.port), timeout=ANSWER_WAIT_S)
     context.add_cleanup(caller.close)
@@ -201,12 +203,12 @@
         context.answer += data
 
 
-@then("the caller gets its answer")
+@then("the caller gets its response")
 def step_got(context):
     assert context.answer.startswith(b"HTTP/1.1 200 OK"), context.answer
 
 
-@then("nothing is listened on, and the daemon says what is wrong")
+@then("no socket is opened, and the daemon reports the error")
 def step_unreadable(context):
     assert early.listen("/nonexistent") is None
     for text in ("", "listen.frontend=here\n", f"listen.frontend={HOST}:x\n"):
@@ -214,7 +216,7 @@
 
 
 class StepClock(ManualClock):
-    """A clock on which each look takes a millisecond."""
+    """A clock that advances by a millisecond at each reading."""
 
     def monotonic_s(self) -> float:
         self.advance(0.001)
@@ -237,7 +239,7 @@
     return context.clock.monotonic_s() - before_s
 
 
-@then("it isn't ready until it knows enough, or has had {seconds:g} s for that")
+@then("it isn't ready until its initial state is complete or {seconds:g} s have passed")
 def step_is_over(context, seconds):
     assert not context.opening.is_over()
     context.known_from_s = context.clock.monotonic_s()
@@ -248,18 +250,18 @@
     assert context.opening.is_over()
 
 
-@when("a request comes and the entry knows enough {seconds:g} s later")
+@when("a request arrives and the entry's initial state is complete {seconds:g} s later")
 def step_knows(context, seconds):
     context.known_from_s = context.clock.monotonic_s() + seconds
     context.held_s = held_s(context)
 
 
-@when("a request comes and the entry never knows enough")
+@when("a request arrives and the entry's initial state is never complete")
 def step_never(context):
     context.held_s = held_s(context)
 
 
-@then("the request was held for {seconds:g} s, and the next one isn't held at all")
+@then("the request was held for {seconds:g} s, and the next one isn't held")
 def step_held(context, seconds):
     assert abs(context.held_s - seconds) < 0.02, context.held_s
     assert held_s(context) < 0.02
@@ -299,11 +301,11 @@
     for dispatcher in context.dispatchers.values():
         dispatcher.catalog_changed(catalog)
         dispatcher.peers_listed(entries)
-    tell_each_other(context)
+    exchange_states(context)
 
 
-def tell_each_other(context) -> None:
-    """Have all hear that the others are there, and nothing of what they spent."""
+def exchange_states(context) -> None:
+    """Deliver each entry's state without spent tokens to all others."""
     context.number = getattr(context, "number", 0) + 1
     for name, dispatcher in context.dispatchers.items():
         for peer in context.dispatchers:
@@ -314,32 +316,32 @@
         dispatcher.tick()
 
 
-def passes(context, dispatcher: DirectDispatcher, cost: float) -> bool:
+def try_spend(context, dispatcher: DirectDispatcher, cost: float) -> bool:
     now_s = context.clock.monotonic_s()
     return dispatcher._quota.spend(context.customer, cost, rank=0, now_s=now_s)
 
 
-@when("{count:d} requests of {cost:d} come to each in the first instant")
+@when("{count:d} requests of {cost:d} tokens arrive at each entry at the same time")
 def step_instant(context, count, cost):
     context.passed = sum(
         cost
         for dispatcher in context.dispatchers.values()
         for _ in range(count)
-        if passes(context, dispatcher, float(cost))
+        if try_spend(context, dispatcher, float(cost))
     )
 
 
-@then("at most {most:d} pass in all, and at least {least:d}")
+@then("at most {most:d} tokens pass in total, and at least {least:d}")
 def step_passed(context, most, least):
     assert least <= context.passed <= most, context.passed
 
 
-@then("after {seconds:g} s an entry may give out a whole bucket alone")
+@then("after {seconds:g} s a single entry may admit a full bucket")
 def step_alone(context, seconds):
     context.clock.advance(seconds)
-    tell_each_other(context)
+    exchange_states(context)
     dispatcher = context.dispatchers["entry-0"]
-    given_out = 0
-    while passes(context, dispatcher, 50.0):
-        given_out += 50
-    assert given_out >= 500, given_out
+    admitted = 0
+    while try_spend(context, dispatcher, 50.0):
+        admitted += 50
+    assert admitted >= 500, admitted
--- a/features/steps/direct_stop_steps.py
+++ b/features/steps/direct_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the stop of an entry, whose server is held at a chosen point."""
+"""Steps about the shutdown of an entry whose server is paused at a chosen point."""
 
 import signal
 import socket
@@ -14,8 +14,8 @@
 from lavenderspoke.platform.wire import PlatformDialect
 from standins.processes import HOST, free_port
 
-# A drain that looks at the clock so often more has found a request each time.
-LOOKS = 4
+# A drain that reads the clock this many more times has found a request each time.
+READINGS = 4
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -23,15 +23,15 @@
 class CountedClock(ManualClock):
     """A clock that counts how often it is read."""
 
-    looks = 0
+    readings = 0
 
     def monotonic_s(self) -> float:
-        self.looks += 1
+        self.readings += 1
         return super().monotonic_s()
 
 
 class StoppingEntry:
-    """An entry that answers each request with a short stream, and can't exit."""
+    """An entry that responds to each request with a short stream, and can't exit."""
 
     def __init__(self, context):
         self.clock = CountedClock(start_s=100.0)
@@ -63,13 +63,13 @@
         wait_for(lambda: self.server.ready, "the server serves")
 
     def connect(self, context) -> None:
-        """Have a caller connect that says nothing yet."""
+        """Connect a caller that sends nothing yet."""
         address = (HOST, self.entry.settings.callers.port)
         self.caller = socket.create_connection(address, timeout=WAIT_S)
         context.add_cleanup(self.caller.close)
 
     def hold_last_chunk(self) -> None:
-        """Hold each request once its application has ended."""
+        """Pause each request after its application has finished."""
         holding = self
 
         class HeldGateway(self.server.gateway):
@@ -81,7 +81,7 @@
         self.server.gateway = HeldGateway
 
     def hold_threads(self) -> None:
-        """Let all threads seem taken, and none come free."""
+        """Make all threads seem busy."""
 
         def waited(connection) -> bool:
             self.held.set()
@@ -91,19 +91,20 @@
         self.server._waited_for_thread = waited
 
     def stop(self) -> None:
-        """Tell it to stop, and let the time pass in which it takes requests."""
+        """Send the stop signal, and advance past the time of accepting requests."""
         threading.Thread(target=self.entry._drain, daemon=True).start()
         self.entry._on_stop(signal.SIGTERM, None)
-        looks = self.clock.looks
-        wait_for(lambda: self.clock.looks > looks + 1, "the drain has begun")
+        readings = self.clock.readings
+        wait_for(lambda: self.clock.readings > readings + 1, "the drain has begun")
         self.clock.advance(DRAIN_ACCEPT_S)
 
     def stays(self) -> bool:
-        """Return whether it stays for some more looks at what is in flight."""
+        """Return whether it keeps running for some more readings of the clock."""
         wait_for(lambda: self.ended.is_set() or self.entry._app.refusing, "refusing")
-        looks = self.clock.looks
+        readings = self.clock.readings
         wait_for(
-            lambda: self.ended.is_set() or self.clock.looks > looks + LOOKS, "looks"
+            lambda: self.ended.is_set() or self.clock.readings > readings + READINGS,
+            "the drain goes on",
         )
         return not self.ended.is_set()
 
@@ -113,21 +114,21 @@
         yield b"whole"
 
 
-@given("an entry whose server is held before the last chunk of a stream")
+@given("an entry whose server is paused before the last chunk of a stream")
 def step_held_chunk(context):
     context.stopping = StoppingEntry(context)
     context.stopping.hold_last_chunk()
     context.stopping.connect(context)
 
 
-@given("an entry whose server has no thread free")
+@given("an entry whose server has no free thread")
 def step_held_threads(context):
     context.stopping = StoppingEntry(context)
     context.stopping.hold_threads()
     context.stopping.connect(context)
 
 
-@given("an entry with a caller that has said nothing")
+@given("an entry with a caller that has sent nothing")
 def step_nothing_said(context):
     context.stopping = StoppingEntry(context)
     context.stopping.connect(context)
@@ -137,29 +138,29 @@
     )
 
 
-@when("a caller sends a request, and the entry is told to stop")
+@when("a caller sends a request, and the entry gets the stop signal")
 def step_stop(context):
     context.stopping.caller.sendall(REQUEST)
     assert context.stopping.held.wait(WAIT_S)
     context.stopping.stop()
 
 
-@when("the entry is told to stop, and its time to turn callers away has passed")
+@when("the entry gets the stop signal, and stops accepting requests")
 def step_stop_idle(context):
     context.stopping.stop()
 
 
-@then("the entry is still there when its time to turn callers away has passed")
+@then("the entry is still running after it stopped accepting requests")
 def step_stays(context):
-    assert context.stopping.stays(), "it has ended"
+    assert context.stopping.stays(), "it has exited"
 
 
-@when("its server goes on")
+@when("its server continues")
 def step_go(context):
     context.stopping.go.set()
 
 
-@then("the caller gets its whole stream, and the entry ends")
+@then("the caller gets its complete stream, and the entry exits")
 def step_whole_and_ended(context):
     answer = b""
     while not answer.endswith(LAST_CHUNK):
@@ -170,6 +171,6 @@
     assert context.stopping.ended.wait(WAIT_S)
 
 
-@then("the entry ends")
+@then("the entry exits")
 def step_ends(context):
     assert context.stopping.ended.wait(WAIT_S)
--- a/lavenderspoke/direct/catalog.py
+++ b/lavenderspoke/direct/catalog.py
@@ -1,7 +1,7 @@
-"""What an entry serves: routes, services, customers and limits, as one version.
+"""One version of an entry's routes, services, customers and limits.
 
-A catalog is immutable. A request is handled under the one catalog that was in
-force when it arrived, so a change never splits a request's decisions.
+A catalog is immutable. A request uses the catalog in force at its arrival throughout,
+so all its decisions follow one version.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class TrafficShare:
-    """The part of a route's requests that one service gets, by weight."""
+    """The weight of one service among those that share a route's requests."""
 
     service: str
     weight: float
@@ -26,13 +26,13 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they are promised.
+    """How requests for one host and path prefix are routed, and their time limits.
 
-    `rank` orders routes, 0 first. `target_s` is the time to the first byte for
-    full value, `timeout_s` the longest a caller is kept, `patience_s` how long it
-    waits for the first byte before it leaves. A `stream` may be
-    `resumable`, and then counts as idempotent. `attempts_max` bounds the
-    upstreams on which one request may run.
+    `rank` is the priority, 0 highest. `target_s` is the time to the first byte up to
+    which a response has its full value, `timeout_s` the longest that a caller is kept
+    waiting, and `patience_s` how long callers wait for the first byte before they
+    disconnect. A `stream` that is `resumable` counts as idempotent. `attempts_max`
+    bounds the number of upstreams on which one request may run.
     """
 
     name: str
@@ -51,7 +51,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether a request may safely run a second time."""
         return self.repeatability is Repeatability.IDEMPOTENT or (
             self.stream and self.resumable
         )
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A pool of like upstreams; `connections_max` is each one's, for all callers."""
+    """A pool of equivalent upstreams; `connections_max` applies to each of them."""
 
     name: str
     connections_max: int
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """What callers may send and how long they may take."""
+    """Limits on the size and timing of callers' requests."""
 
     header_bytes_max: int = 16 * 1024
     body_bytes_max: int = 4 * 1024 * 1024
@@ -78,11 +78,10 @@
 
 @attrs.frozen(kw_only=True)
 class Customer:
-    """A customer with its rank (0 first) and its limit.
+    """A customer with its rank (0 is the highest) and its rate limit.
 
-    `per_s` and `burst` are in tokens, or in requests when `counts_tokens` is
-    false; a `per_s` of 0 means no limit. A request that states no tokens counts
-    as `default_tokens`.
+    `per_s` and `burst` are in tokens, or in requests if `counts_tokens` is false; a
+    `per_s` of 0 means no limit. A request without a token count costs `default_tokens`.
     """
 
     name: str
@@ -94,7 +93,7 @@
     default_tokens: int
 
     def cost(self, tokens: int | None) -> float:
-        """Return what one request counts against the limit."""
+        """Return the cost of one request against the limit."""
         if not self.counts_tokens:
             return 1.0
         return float(self.default_tokens if tokens is None else tokens)
@@ -102,7 +101,7 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class Catalog:
-    """Everything in force at one version."""
+    """The routes, services, customers and limits of one configuration version."""
 
     version: int
     routes: tuple[Route, ...]
@@ -125,14 +124,14 @@
 
     @property
     def needs_key(self) -> bool:
-        """Whether there are customers, so that requests must name one."""
+        """Whether requests need an API key, because there are customers."""
         return bool(self.customers)
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, if any.
+        """Return the route with the longest matching path prefix, if any.
 
-        Prefixes end in a slash, so only the path's own slashes are tried: the
-        cost doesn't grow with the number of routes.
+        Prefixes end in a slash, so only the slashes in the path are tried and the cost
+        doesn't grow with the number of routes.
         """
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
@@ -145,11 +144,10 @@
         return None
 
     def rank_of(self, customer: Customer | None) -> int:
-        """Return a customer's rank, or that of a request without a customer.
+        """Return a customer's rank, or the rank of a request without a customer.
 
-        Nobody vouches for what comes without a key, so it ranks with the last
-        customers. Before all of them, a trickle of such requests would make the
-        customers' own most urgent ones wait as if they were second.
+        Unauthenticated requests get the lowest customer rank. At the highest, a few of
+        them would delay the customers' own most urgent requests.
         """
         if customer is not None:
             return customer.rank
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -1,4 +1,4 @@
-"""An entry that dispatches directly, put together from its parts."""
+"""The daemon of an entry that uses direct dispatch, composed of its parts."""
 
 import os
 import signal
@@ -30,11 +30,11 @@
 from lavenderspoke.stopsignals import STOP_SIGNALS
 from lavenderspoke.supervisor import Part, Supervisor
 
-# Requests are taken for so long after the signal to stop, in seconds. The balancer
-# asks once a second and turns callers away after two refusals; what comes later
-# than three seconds could not be finished in the grace time if it is long.
+# How long requests are still accepted after the stop signal, in seconds. The load
+# balancer checks readiness once a second and redirects callers after two failures. A
+# long request that arrived after three seconds could not finish within the grace time.
 DRAIN_ACCEPT_S = 2.6
-# The stop ends this long, in seconds, before the process would be killed.
+# Margin between the end of the drain and the kill, in seconds.
 STOP_MARGIN_S = 0.9
 DRAIN_POLL_S = 0.05
 
@@ -42,23 +42,23 @@
 
 
 class Feeds(Protocol):
-    """What brings catalog, upstreams and peers from a platform."""
+    """The feeds of catalog, upstreams and peers from a platform."""
 
     def parts(self) -> list[tuple[str, Part]]:
-        """Return the parts that follow the platform."""
+        """Return the supervised parts of the feeds, by name."""
 
     def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
-        """Take in what another entry asks or tells about the platform's records."""
+        """Handle a message from another entry about the platform's records."""
 
     def leave(self) -> None:
-        """Take this entry off the platform's records."""
+        """Remove this entry's record from the platform's store."""
 
 
 class DirectEntry:
     """One entry.
 
-    `listener` is a socket at which callers may be waiting already. `flush` is called
-    before the process ends by itself, to get the last log lines out.
+    `listener` is a socket on which callers may already be waiting. `flush` is called
+    before the process exits by itself, to write the last log lines.
     """
 
     def __init__(
@@ -92,9 +92,9 @@
             metrics=self.metrics,
         )
         self._watch = CallerWatch()
-        self._opening = StartupHold(is_ready=self._knows_enough, clock=clock)
+        self._startup_hold = StartupHold(is_ready=self._has_initial_state, clock=clock)
         self._app = DirectApp(
-            opening=self._opening,
+            opening=self._startup_hold,
             in_force=self.in_force,
             dispatcher=self.dispatcher,
             dialect=dialect,
@@ -110,27 +110,27 @@
         )
         self._peers = PeerLinkLoader(load=self._load_gossip)
         self._feeds: Feeds | None = None
-        self._told_to_stop = threading.Event()
+        self._stop_requested = threading.Event()
         self._supervisor: Supervisor | None = None
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here.
+        """Return whether callers may be sent to this entry.
 
-        An entry that is ready before the others know of it can't be told what they
-        read: turned away by the store right then, it would refuse all keys as soon
-        as its only read is too old. The platform's list of entries takes some 10 ms
-        more; where it doesn't come, the entry serves without it.
+        Until the other entries know of it, they can't relay records to it. If the store
+        rejected it then, it would refuse all API keys as soon as its only read is too
+        old. The platform's list of entries takes about 10 ms more; if it doesn't arrive
+        in time, the entry serves without it.
         """
         return (
             not self._app.draining
-            and self._opening.is_over()
+            and self._startup_hold.is_over()
             and self.in_force.catalog is not None
             and self.in_force.is_fresh()
             and self.dispatcher.has_upstreams()
         )
 
-    def _knows_enough(self) -> bool:
-        """Return whether requests can be decided on, and limits shared."""
+    def _has_initial_state(self) -> bool:
+        """Return whether requests can be dispatched, and limits shared with peers."""
         return (
             self.in_force.catalog is not None
             and self.dispatcher.has_upstreams()
@@ -138,17 +138,17 @@
         )
 
     def catalog_changed(self, catalog: Catalog) -> None:
-        """Take over a catalog that has come into force."""
+        """Apply a catalog that came into force."""
         self.dispatcher.catalog_changed(catalog)
         self._callers.set_limits(catalog.limits)
 
     def reload(self, bounds: Bounds) -> None:
-        """Put changed bounds in force."""
+        """Apply changed bounds."""
         self.in_force.key_age_max_s = bounds.revoke_s - KEY_MARGIN_S
         self.dispatcher.reload(bounds)
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send another entry a message about records, if it can be reached."""
+        """Send a message about records to another entry; dropped if unreachable."""
         self._peers.send_to_peer(name, message)
 
     def _load_gossip(self) -> PeerLink:
@@ -171,7 +171,10 @@
             self._feeds.handle_message(sender, message)
 
     def run(self, feeds: Feeds) -> int:
-        """Run until told to stop; return the process's exit status."""
+        """Run until the supervisor ends; return the process's exit status.
+
+        After a stop signal the process exits without a return from here.
+        """
         self._feeds = feeds
         self._supervisor = Supervisor(
             name="entry",
@@ -183,17 +186,17 @@
                 ("peers", self._peers),
             ],
             clock=self.clock,
-            # Without its link an entry keeps to its own part of limits; ended, it would
-            # cut off all that it streams.
+            # Without its link an entry keeps to its own share of the limits. Exiting
+            # would cut off all its streams.
             dispensable=frozenset({"peers"}),
         )
         log.info("starting", entry=self.me.name, incarnation=self.me.incarnation)
-        # Started before it is needed: the system may refuse a thread by then, and the
-        # stop would be lost with it.
+        # Started early: at the time of the stop signal the system may refuse a new
+        # thread, and the entry would not stop.
         threading.Thread(target=self._drain, name="drain", daemon=True).start()
         for stop in STOP_SIGNALS:
             signal.signal(stop, self._on_stop)
-            # One that came while the process was loaded is delivered now.
+            # A signal that arrived while the process was loading is delivered now.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, {stop})
         status = self._supervise()
         log.info("stopped", entry=self.me.name, status=status)
@@ -203,9 +206,9 @@
         try:
             return self._supervisor.run()
         except Exception:
-            # Returning would wait for threads of the servers, which wait for callers:
-            # the process would stay, and hold its port without serving it.
-            log.exception("the entry can't go on")
+            # Returning would wait for server threads, which wait for callers. The
+            # process would stay and hold its port without serving it.
+            log.exception("the entry failed")
             self._flush()
             os._exit(1)
 
@@ -213,25 +216,25 @@
         # A signal handler must return at once.
         if not self._app.draining:
             self._app.draining = True
-            self._told_to_stop.set()
+            self._stop_requested.set()
 
     def _drain(self) -> None:
-        """Once told to, finish what came before the balancer turned away, and stop."""
-        self._told_to_stop.wait()
+        """Wait for the stop signal, finish accepted requests and exit."""
+        self._stop_requested.wait()
         started_s = self.clock.monotonic_s()
-        turned_away_s = started_s + DRAIN_ACCEPT_S
+        refuse_from_s = started_s + DRAIN_ACCEPT_S
         latest_s = started_s + self.dispatcher.bounds.grace_s - STOP_MARGIN_S
         log.info("stopping", in_flight=self._callers.in_flight())
         self._feeds.leave()
         pause = threading.Event()
         while (now_s := self.clock.monotonic_s()) < latest_s:
-            self._app.refusing = now_s >= turned_away_s
+            self._app.refusing = now_s >= refuse_from_s
             if self._app.refusing and not self._callers.in_flight():
                 break
             pause.wait(DRAIN_POLL_S)
         self._peers.stop()
         log.info("stopped", cut_off=self._callers.in_flight())
-        # What is left are threads that wait on sockets. Joining them takes up to
-        # a second for each server, and the process would be killed meanwhile.
+        # The remaining threads wait on sockets. Joining them takes up to a second for
+        # each server, and the process would be killed meanwhile.
         self._flush()
         os._exit(0)
--- a/lavenderspoke/direct/inforce.py
+++ b/lavenderspoke/direct/inforce.py
@@ -1,4 +1,4 @@
-"""The catalog in force and how old the knowledge is that it is the newest."""
+"""The catalog in force, and when it was last confirmed to be the newest."""
 
 import threading
 
@@ -13,11 +13,11 @@
 class CatalogInForce:
     """The newest catalog read so far.
 
-    Keys are honoured only while the last read is younger than `key_age_max_s`:
-    a key that was taken away must stop working also at an entry that can't read
-    the platform's store any more, and it can't tell that case from one in which
-    nothing changed. The age counts from when a read was sent, since the answer
-    may have lain on the way, and on a clock that counts a suspension.
+    API keys are accepted only while the last read is younger than `key_age_max_s`. A
+    revoked key must stop working even at an entry that can't read the store any more,
+    which the entry can't distinguish from an unchanged configuration. The age counts
+    from when the read was sent, since the response may have been delayed, on a clock
+    that includes time spent suspended.
     """
 
     def __init__(self, *, clock: Clock, key_age_max_s: float):
@@ -33,7 +33,7 @@
         return self._catalog
 
     def offer(self, catalog: Catalog) -> bool:
-        """Put a catalog in force unless it is older than the one there."""
+        """Put a catalog in force if its version is newer; return whether it is."""
         with self._lock:
             current = self._catalog
             if current is not None and catalog.version <= current.version:
@@ -49,18 +49,18 @@
         return True
 
     def confirm(self, sent_s: float) -> None:
-        """Note that a read sent then has shown the newest catalog."""
+        """Record that a read sent at `sent_s` returned the catalog in force."""
         with self._lock:
             if self._confirmed_s is None or sent_s > self._confirmed_s:
                 self._confirmed_s = sent_s
 
     def age_s(self) -> float | None:
-        """Return how long ago the last good read was sent."""
+        """Return the time since the last successful read was sent, None before one."""
         if self._confirmed_s is None:
             return None
         return self._clock.monotonic_s() - self._confirmed_s
 
     def is_fresh(self) -> bool:
-        """Return whether keys may be honoured now."""
+        """Return whether API keys may be accepted now."""
         age_s = self.age_s()
         return age_s is not None and age_s < self.key_age_max_s
--- a/lavenderspoke/direct/instances.py
+++ b/lavenderspoke/direct/instances.py
@@ -1,4 +1,4 @@
-"""The upstream instances of a service, as the platform lists them."""
+"""Upstream instances as listed by the platform."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 class Upstream:
     """One incarnation of an upstream.
 
-    `upstream_id` is new at each start, so that nothing which was learned of one start
-    is believed of the next. `name` is what the upstream calls itself, which several
-    starts may share. `version` is that of its software, empty where it names none;
-    until it `is_warm` it is slower than later. `slots` is how many requests it works on
-    at once. A `leaving` one takes no new requests.
+    `upstream_id` changes at each start, so that what was observed of one incarnation
+    isn't applied to the next. `name` is the upstream's own name and may stay the same
+    across restarts. `version` is its software version, empty if not given. It is slower
+    until it `is_warm`. `slots` is the number of requests it processes concurrently. A
+    `leaving` upstream takes no new requests.
     """
 
     upstream_id: str
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -1,4 +1,4 @@
-"""The link to the other entries, loaded while callers are served already."""
+"""The link to the other entries, loaded while the entry already serves callers."""
 
 import threading
 from collections.abc import Callable
@@ -12,28 +12,28 @@
 
 
 class PeerLink(Protocol):
-    """What is loaded: a part that can also send one entry a message."""
+    """A supervised part that exchanges messages with the other entries."""
 
     def start(self) -> None:
-        """Listen, and begin to tell."""
+        """Start listening and sending."""
 
     def stop(self) -> None:
-        """Tell the others that this entry leaves, and hang up."""
+        """Announce that this entry is leaving, and close all connections."""
 
     def alive(self) -> bool:
-        """Return whether the others are being heard and told."""
+        """Return whether messages are being sent and received."""
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send one entry a message; it is dropped if that can't be reached."""
+        """Send a message to one entry; dropped if that entry can't be reached."""
 
 
 class PeerLinkLoader:
-    """The part of an entry that loads its link to the others and runs it.
+    """Loads the link to the other entries in the background, and runs it.
 
-    The link's libraries are a good part of all that is loaded at a start, and callers
-    that wait at the port after a fault of all entries wait for that too. An entry that
-    doesn't hear the others yet keeps to its own part of limits, so it may serve before
-    it has the link. `load` imports and returns it.
+    The link's libraries take a large part of the startup time, and after a failure of
+    all entries, callers waiting at the port would wait for them too. An entry without
+    the link keeps to its own share of the limits, so it may serve before the link is
+    loaded. `load` imports and returns it.
     """
 
     def __init__(self, *, load: Callable[[], PeerLink]):
@@ -42,18 +42,18 @@
         self._stopped = False
         self._lock = threading.Lock()
         self._loader: threading.Thread | None = None
-        # Why the link doesn't run; empty when it does.
-        self._cause = ""
+        # Why the link failed to start; empty after a successful start.
+        self._start_error = ""
 
     def start(self) -> None:
-        """Begin to load the link, or start it again."""
+        """Load and start the link, or restart one that was loaded before."""
         with self._lock:
             self._stopped = False
         self._loader = threading.Thread(target=self._run, name="peers", daemon=True)
         self._loader.start()
 
     def stop(self) -> None:
-        """Stop the link; one that is being loaded is never started."""
+        """Stop the link; if it is still loading, it is not started afterwards."""
         with self._lock:
             self._stopped = True
             link = self._link
@@ -61,17 +61,17 @@
             link.stop()
 
     def alive(self) -> bool:
-        """Return whether the link runs, or is on its way."""
+        """Return whether the link is running or being loaded."""
         loading = self._loader is not None and self._loader.is_alive()
         return loading or (self._link is not None and self._link.alive())
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send one entry a message; it is dropped if that can't be reached."""
+        """Send a message to one entry; dropped if that entry can't be reached."""
         if self._link is not None:
             self._link.send_to_peer(name, message)
 
     def wait_loaded(self, timeout_s: float) -> None:
-        """Wait until the link was loaded and started, or could not be."""
+        """Wait until the link has started or failed to, at most `timeout_s` seconds."""
         if self._loader is not None:
             self._loader.join(timeout_s)
 
@@ -84,19 +84,18 @@
                 link.start()
                 self._link = link
         except Exception as error:
-            self._failed(error)
+            self._log_start_error(error)
             return
-        if self._cause:
-            log.info("the link to the other entries started")
-        self._cause = ""
+        if self._start_error:
+            log.info("link to the other entries started")
+        self._start_error = ""
 
-    def _failed(self, error: Exception) -> None:
-        """Say why, once for each cause.
+    def _log_start_error(self, error: Exception) -> None:
+        """Log the error, unless it is the same as at the last attempt.
 
-        The part isn't alive from here on, and the supervisor starts it once more,
-        every few seconds for as long as the cause lasts.
+        The part then isn't alive, so the supervisor retries every few seconds.
         """
         cause = repr(error)
-        if cause != self._cause:
-            log.exception("the link to the other entries didn't start")
-        self._cause = cause
+        if cause != self._start_error:
+            log.exception("link to the other entries failed to start")
+        self._start_error = cause
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -1,21 +1,21 @@
-"""The settings of an entry that dispatches directly."""
+"""Settings of an entry that uses direct dispatch."""
 
 import attrs
 
 from lavenderspoke.direct.quota import Tolerance
 from lavenderspoke.rollouts.transitions import Bounds as RolloutBounds
 
-# The part of the platform's retry budget that entries use: the platform counts
-# over a sliding window, in which a full balance and what is added meanwhile can
-# both be spent.
+# Share of the platform's retry budget that entries use. The platform counts retries in
+# a sliding window, within which entries can spend both a full balance and the retries
+# added to it meanwhile.
 RETRY_BUDGET_SHARE = 0.45
-# Time in seconds that the fresh read of a key may take to become a dispatch.
+# Time allowed between the freshness check of a key and the dispatch, in seconds.
 KEY_MARGIN_S = 0.4
 
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """Where something listens."""
+    """A listen address."""
 
     host: str
     port: int
@@ -23,15 +23,18 @@
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """What the platform's operators promise their users, in seconds and parts.
-
-    `grace_s` is the time between a stop's signal and the kill; `revoke_s` how
-    long a key may work after it was taken away; `retry_ratio` and `retry_slack`
-    bound retries in any `retry_window_s`, over all entries; customers' limits
-    count in any `quota_window_s`, which may exceed them by `quota_tolerance`; an
-    upstream that leaves gets its last request within `drain_s` of saying so; a
-    configuration is in force `apply_s` after the store has taken it; `rollout` bounds
-    what a bad version may get.
+    """Guarantees that the platform's operators give their users; times in seconds.
+
+    - `grace_s`: time between the stop signal and the kill.
+    - `revoke_s`: how long a key may still work after it was revoked.
+    - `retry_ratio`, `retry_slack`: limit on retries in any `retry_window_s`, over all
+      entries.
+    - `quota_tolerance`: how far a customer may exceed its limit, counted in any
+      `quota_window_s`.
+    - `drain_s`: time in which an upstream gets its last request after it announces that
+      it is leaving.
+    - `apply_s`: time until a configuration is in force after the store accepted it.
+    - `rollout`: limits on the requests sent to a bad version.
     """
 
     grace_s: float = 8.0
@@ -48,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class DirectSettings:
-    """What one entry needs to know."""
+    """Settings of one entry."""
 
     name: str
     data_centre: str
