--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -44,7 +44,7 @@
 class Feed:
     """Follows one topic on its own thread.
 
-    A follower queries the readers every `query_interval_s` seconds, and reads the store
+    A follower queries a reader every `query_interval_s` seconds, and reads the store
     itself once its state is older than `stale_after_s` seconds. Peers are notified at
     once of new records of an `urgent` topic. Records too large to be relayed are read
     from the store once the last records are `reread_after_s` seconds old.
@@ -64,7 +64,7 @@
         self._clock = clock
         self._relay = relay
         self._metrics = metrics
-        self._from_newest = True
+        self._needs_snapshot = True
         self._failing = False
         self._read_scheduled = False
         # When the read that returned the last records was sent.
@@ -99,7 +99,7 @@
         self._count_call(self._read_reason())
         self._read_scheduled = False
         sent_s = self._clock.monotonic_s()
-        is_snapshot = self._from_newest
+        is_snapshot = self._needs_snapshot
         if is_snapshot:
             read = self._store.newest(self.topic)
         else:
@@ -112,7 +112,7 @@
         batch = read.ok_value
         if isinstance(batch, OffsetExpired):
             log.info("offset expired", topic=self.topic, offset=offset)
-            self._from_newest = True
+            self._needs_snapshot = True
             return self.poll()
         if batch.skipped:
             log.warning("records skipped", topic=self.topic, count=batch.skipped)
@@ -157,7 +157,7 @@
             self.cache.put(batch, is_snapshot=is_snapshot, sent_s=sent_s)
             if batch.records:
                 self._last_records_s = max(self._last_records_s, sent_s)
-            self._from_newest = False
+            self._needs_snapshot = False
             return True
 
     def _run(self) -> None:
@@ -187,7 +187,7 @@
         return max(RETRY_PAUSE_S, self._period_s())
 
     def _relies_on_peers(self) -> bool:
-        if self._from_newest or not self._relay.is_follower():
+        if self._needs_snapshot or not self._relay.is_follower():
             return False
         return self._relay_remaining_s() > 0.0
 
@@ -201,7 +201,7 @@
     def _read_reason(self) -> CallReason:
         if self._failing:
             return CallReason.RETRY
-        if self._from_newest:
+        if self._needs_snapshot:
             known = self.cache.next_offset is not None
             return CallReason.FORGOTTEN if known else CallReason.FIRST
         if self._relay.is_alone():
--- a/lavenderspoke/direct/relay.py
+++ b/lavenderspoke/direct/relay.py
@@ -1,9 +1,10 @@
 """Relays records of the platform's store between entries.
 
 Calls to the store cost money and count against a rate limit that all entries share,
-and most return nothing new. So only two entries (the readers) read the store, and the
-others (the followers) query one of them. With 26 entries that is a fifth of the calls.
-The same replies serve an entry whose calls the store rejects while it accepts others'.
+and most return nothing new. So normally only two entries (the readers) read the store,
+and the others (the followers) query one of them. With 26 entries that is a fifth of the
+calls. The same replies serve an entry whose calls the store rejects while it accepts
+those of others.
 
 For urgent topics, a reader notifies the other entries of new records, and they query
 it at once.
@@ -161,7 +162,7 @@
         self._random = random
         self._feeds: dict[str, RelayedFeed] = {}
         self._was_follower = False
-        self._last_query_s = float("-inf")
+        self._last_query_received_s = float("-inf")
 
     def register(self, feed: RelayedFeed) -> None:
         """Reply to queries about the feed's topic, and give replies to the feed."""
@@ -184,7 +185,7 @@
 
         Recent queries count too: a reader that the store rejects queries any peer.
         """
-        if self._clock.monotonic_s() < self._last_query_s + FOLLOWER_TIMEOUT_S:
+        if self._clock.monotonic_s() < self._last_query_received_s + FOLLOWER_TIMEOUT_S:
             return True
         return (
             len(self._peers.live_peer_names()) >= READER_COUNT
@@ -233,7 +234,7 @@
             if message.next_offset > (feed.cache.next_offset or 0):
                 self._query(feed.topic, [sender.name], in_full=False)
         elif isinstance(message, RecordsAsked):
-            self._last_query_s = self._clock.monotonic_s()
+            self._last_query_received_s = self._clock.monotonic_s()
             reply = feed.cache.reply_to(message, self._clock.monotonic_s())
             if reply is not None:
                 self._peers.send(sender.name, reply)
