--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -99,8 +99,8 @@
 
     def _call(self) -> StoreError | None:
         self._world.calls[self._name] += 1
-        away = self._name in self._world.rejected | self._world.disconnected
-        return StoreError(detail="turned away") if away else None
+        is_rejected = self._name in self._world.rejected | self._world.disconnected
+        return StoreError(detail="rejected") if is_rejected else None
 
     def newest(self, topic: str):
         if error := self._call():
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -32,7 +32,7 @@
     """Why an entry calls the store instead of querying another entry."""
 
     FIRST = "first"
-    FORGOTTEN = "forgotten"
+    OFFSET_EXPIRED = "forgotten"
     RETRY = "retry"
     ALONE = "alone"
     READER = "reader"
@@ -203,7 +203,7 @@
             return CallReason.RETRY
         if self._needs_snapshot:
             known = self.cache.next_offset is not None
-            return CallReason.FORGOTTEN if known else CallReason.FIRST
+            return CallReason.OFFSET_EXPIRED if known else CallReason.FIRST
         if self._relay.is_alone():
             return CallReason.ALONE
         if not self._relay.is_follower():
--- a/lavenderspoke/direct/inforce.py
+++ b/lavenderspoke/direct/inforce.py
@@ -13,11 +13,11 @@
 class CatalogInForce:
     """The newest catalog read so far.
 
-    API keys are accepted only while the last read is younger than `key_age_max_s`. A
-    revoked key must stop working even at an entry that can't read the store any more,
-    which the entry can't distinguish from an unchanged configuration. The age counts
-    from when the read was sent, since the response may have been delayed, on a clock
-    that includes time spent suspended.
+    API keys are accepted only while the last successful read is younger than
+    `key_age_max_s`. A revoked key must stop working even at an entry that can't read
+    the store any more, a case that the entry can't distinguish from an unchanged
+    configuration. The age counts from when the read was sent, since the response may
+    have been delayed, on a clock that includes time spent suspended.
     """
 
     def __init__(self, *, clock: Clock, key_age_max_s: float):
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -95,7 +95,7 @@
 
         The part then isn't alive, so the supervisor retries every few seconds.
         """
-        cause = repr(error)
-        if cause != self._start_error:
+        error_text = repr(error)
+        if error_text != self._start_error:
             log.exception("link to the other entries failed to start")
-        self._start_error = cause
+        self._start_error = error_text
