--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -271,5 +271,8 @@
 @then("each entry expects retries of all refused requests")
 def step_expected(context):
     for name, entry in context.fleet.entries.items():
-        missing = set(context.refused) - entry.dispatcher._resubmissions._first_s.keys()
+        missing = (
+            set(context.refused)
+            - entry.dispatcher._resubmissions._first_arrived_s.keys()
+        )
         assert not missing, (name, sorted(missing)[:5])
