--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -1,13 +1,14 @@
-Feature: Roll-outs of a new version, judged while they run
-  Driven without a network: entries decide and tell each other as in the daemon.
+Feature: Roll-outs of a new version
+  Simulated without a network: entries decide and exchange news as in the daemon.
 
-  Scenario Outline: A version is judged by what it answers
-    Guards against a bad version that gets all requests, and a sound one that is turned down.
+  Scenario Outline: A version is judged by its answers
+    Guards against a bad version that receives all requests, and a sound one that is
+    rolled back.
     Given <entries> entries, and a version that is <quality>, with seed <seed>
-    When it is ordered to take over within 12 s
+    When a 12 s roll-out to it is ordered
     Then the roll-out ends as <state> within 12 s
-    And a bad version gets at most a tenth of the requests and 50 more
-    And it gets none later than 2 s after its 50th bad answer
+    And a bad version receives at most a tenth of the requests plus 50
+    And it receives none later than 2 s after its 50th bad answer
 
     Examples:
       | entries | quality          | seed | state       |
@@ -21,57 +22,57 @@
       | 6       | bad under load   | 1    | rolled_back |
       | 6       | bad on one route | 1    | rolled_back |
 
-  Scenario: Nothing runs at the old version when it is stopped
-    Guards against answers that are cut off when the old upstreams end at once.
+  Scenario: No request is in flight at the old version when it is shut down
+    Guards against answers cut off because the old upstreams shut down on completion.
     Given 6 entries, and a version that is good, with seed 4
-    When it is ordered to take over within 12 s
+    When a 12 s roll-out to it is ordered
     Then the roll-out ends as completed within 12 s
-    And nothing runs at the old version from then on
+    And no request is in flight at the old version from then on
 
   Scenario: All entries are killed while a bad version is a canary
-    Guards against a share that each start of an entry begins anew.
+    Guards against a canary share that each start of an entry may use up again.
     Given 6 entries, and a version that is failing in part, with seed 5
-    When it is ordered to take over within 12 s, and all entries start anew each 0.5 s for 3 s
+    When a 12 s roll-out to it is ordered, and all entries restart every 0.5 s for 3 s
     Then the roll-out ends as rolled_back within 12 s
-    And a bad version gets at most a tenth of the requests and 50 more
+    And a bad version receives at most a tenth of the requests plus 50
 
   Scenario: All entries are killed after the roll-out has ended
-    Guards against a version that is used again because nobody remembers its end.
+    Guards against a version used again because no entry remembers its roll-back.
     Given 6 entries, and a version that is failing in part, with seed 6
-    When it is ordered to take over within 12 s
+    When a 12 s roll-out to it is ordered
     Then the roll-out ends as rolled_back within 12 s
-    When all entries start anew
-    Then the new version gets nothing for 3 s
+    When all entries restart
+    Then the new version receives no requests for 3 s
 
-  Scenario: The entry that writes the record freezes, and wakes after another one wrote
-    Guards against an old state that a slow writer puts over a final one.
+  Scenario: The entry that writes the record freezes and resumes after another one wrote
+    Guards against a slow writer that overwrites a final state with an old one.
     Given 6 entries, and a version that is failing in part, with seed 7
-    When it is ordered to take over within 12 s, and the first entry freezes until it has ended
+    When a 12 s roll-out to it is ordered, and the first entry freezes until the roll-out ends
     Then the roll-out ends as rolled_back within 12 s
-    And the record stays as it is when the frozen entry wakes
+    And the record doesn't change when the frozen entry resumes
 
-  Scenario: Half of the entries are cut off from the store
-    Guards against a roll-out that ends at some entries and goes on at others.
+  Scenario: Half of the entries can't reach the store
+    Guards against a roll-out that ends at some entries and continues at others.
     Given 6 entries, and a version that is failing in part, with seed 8
-    When it is ordered to take over within 12 s, and the store turns 3 entries away
+    When a 12 s roll-out to it is ordered, and the store rejects 3 entries
     Then the roll-out ends as rolled_back within 12 s
-    And a bad version gets at most a tenth of the requests and 50 more
+    And a bad version receives at most a tenth of the requests plus 50
 
-  Scenario: Upstreams of a new version are listed before anyone knows why
-    Guards against a bad version that gets an equal share before its order is read.
+  Scenario: Upstreams of a new version are listed before their order is read
+    Guards against a bad version that receives an equal share until then.
     Given an entry that knows upstreams of one version
     When upstreams of another version are listed
-    Then they get nothing
+    Then they receive no requests
     When the orders are read 0.5 s later, and there is none for them
-    Then they get nothing
+    Then they receive no requests
     When the orders are read 1.5 s later, and there is none for them
-    Then they get requests as the others do
+    Then they receive requests like the others
 
-  Scenario Outline: An attempt ends in any way
-    Guards against places that stay taken because an answer can't be counted.
+  Scenario Outline: An attempt ends with any outcome
+    Guards against slots that stay occupied because an answer can't be counted.
     Given an entry that knows upstreams of one version
-    When a request ends there as <outcome>
-    Then no place is taken
+    When a request there ends with outcome <outcome>
+    Then no slot is occupied
 
     Examples:
       | outcome     |
@@ -84,46 +85,47 @@
       | misdirected |
       | left        |
 
-  Scenario: A service is seen for the first time
-    Guards against a new service that nobody may use.
+  Scenario: A service is listed for the first time
+    Guards against a new service whose upstreams receive no requests.
     Given an entry that knows no upstreams
     When upstreams of one version are listed
-    Then they get requests
+    Then they receive requests
 
-  Scenario: An entry that hears nobody knows of an order
-    Guards against a target that gets requests from an entry nobody can tell that it is bad.
-    Given an entry that knows an order and hears none of 3 others
-    Then the target gets nothing in 200 requests
+  Scenario: An entry without live peers knows an order
+    Guards against an entry that sends the target requests although no peer can report
+    that it is bad.
+    Given an entry that knows an order and hears from none of its 3 peers
+    Then the target receives none of 200 requests
 
   Scenario: An order names the version that is in use
-    Guards against a service that is out of use while such an order is looked into.
+    Guards against a service without usable upstreams while the order is evaluated.
     Given an entry that knows upstreams of one version
-    When it is ordered to move to that version
-    Then they get requests
+    When a roll-out to that version is ordered
+    Then they receive requests
 
   Scenario: An order is withdrawn
     Given 6 entries, and a version that is good, with seed 9
-    When it is ordered to take over within 12 s, and the order is withdrawn after 3 s
+    When a 12 s roll-out to it is ordered, and the order is withdrawn after 3 s
     Then the roll-out ends as rolled_back within 6 s
 
-  Scenario: Orders are read again after one was dropped
-    Guards against a withdrawal that is told at each read, and an order that comes back.
-    Given a reader of orders that knows one for "s"
+  Scenario: Orders are read again after one was removed
+    Guards against a withdrawal repeated at each read, and a removed order that returns.
+    Given an order reader that knows an order for "s"
     When all records are read twice without it
     Then it is withdrawn once
-    When the dropped record is shown once more by a read that came late
+    When a delayed read returns the removed record once more
     Then the roll-out stays stopped
 
-  Scenario: The version in use after a roll-out is the measure of the next one
-    Guards against slow answers that are judged by a version that is gone.
+  Scenario: The version in use after a roll-out is the baseline of the next one
+    Guards against comparing answers with a version that no longer runs.
     Given an entry that has completed a roll-out
     When the new version answers 40 times within 0.1 s
     Then an answer of 1 s counts as slow
 
-  Scenario Outline: What an operator writes makes no sense
-    Guards against an order that is half understood.
-    When a record says "<record>"
-    Then it is refused for "<why>"
+  Scenario Outline: An operator's order is invalid
+    Guards against an order that is applied in part.
+    When the order record is "<record>"
+    Then it is rejected for "<why>"
 
     Examples:
       | record                                              | why      |
--- a/features/rolloutdrive.py
+++ b/features/rolloutsimulation.py
@@ -1,7 +1,7 @@
-"""A roll-out over many entries, driven without a network.
+"""Simulates a roll-out over many entries without a network.
 
-Entries decide, tell each other and write records as in the daemon; callers, upstreams
-of two versions and the platform's store are played here.
+Entries decide, exchange news and write records as in the daemon; callers, upstreams of
+two versions and the platform's store are simulated.
 """
 
 import json
@@ -23,10 +23,10 @@
 from lavenderspoke.rollouts.orders import Order
 
 OLD, NEW = "v1", "v2"
-LOOK_EVERY_S = 0.2
-ORDERS_READ_EVERY_S = 0.4
+STATUS_PERIOD_S = 0.2
+ORDERS_READ_PERIOD_S = 0.4
 EVENT_S = 0.02
-# Requests a second by route, and the events of an answer.
+# Requests per second by route, and the number of events of an answer.
 ROUTES = {"briefing": (50.0, 10), "summary": (100.0, 5), "comment": (30.0, 50)}
 
 
@@ -34,34 +34,34 @@
 class Quality:
     """How a version answers.
 
-    `bad` of its answers fail, or take `slow_times` as long, from `after_s` on, on
-    `route` alone if one is named, and only on upstreams that run `busy_from` requests
-    or more.
+    `bad_share` of its answers fail, or take `slow_factor` times as long if that is set.
+    This starts `after_s` after the order and is limited to `route`, if set, and to
+    upstreams that run at least `busy_from_requests` requests.
     """
 
-    bad: float = 0.0
-    slow_times: float = 0.0
+    bad_share: float = 0.0
+    slow_factor: float = 0.0
     after_s: float = 0.0
     route: str = ""
-    busy_from: int = 0
+    busy_from_requests: int = 0
 
 
 QUALITIES = {
     "good": Quality(),
-    "failing in part": Quality(bad=0.3),
-    "slow in part": Quality(bad=0.4, slow_times=6.0),
-    "bad later": Quality(bad=0.4, after_s=4.0),
-    "bad under load": Quality(bad=0.5, busy_from=3),
-    "bad on one route": Quality(bad=0.5, route="comment"),
+    "failing in part": Quality(bad_share=0.3),
+    "slow in part": Quality(bad_share=0.4, slow_factor=6.0),
+    "bad later": Quality(bad_share=0.4, after_s=4.0),
+    "bad under load": Quality(bad_share=0.5, busy_from_requests=3),
+    "bad on one route": Quality(bad_share=0.5, route="comment"),
 }
 
 
 class SharedStore:
-    """The records of one topic, which some entries may not reach."""
+    """The records of one topic; the store rejects some entries."""
 
     def __init__(self):
         self.records: list[KeyedRecord] = []
-        self.turned_away: set[str] = set()
+        self.rejected_entries: set[str] = set()
 
     def newest(self) -> RecordBatch:
         newest = {record.key: record for record in self.records}
@@ -77,8 +77,8 @@
         return Ok(None)
 
 
-class StoreOf:
-    """The store as one entry reaches it."""
+class EntryStore:
+    """The store as accessed by one entry."""
 
     def __init__(self, *, shared: SharedStore, name: str):
         self._shared = shared
@@ -86,19 +86,19 @@
 
     def newest(self, topic: str):
         assert topic == STATUS_TOPIC
-        if self._name in self._shared.turned_away:
-            return Err(StoreError(detail="turned away"))
+        if self._name in self._shared.rejected_entries:
+            return Err(StoreError(detail="rejected"))
         return Ok(self._shared.newest())
 
     def append(self, topic: str, key: str, value: bytes, *, end_offset=None):
         assert topic == STATUS_TOPIC
-        if self._name in self._shared.turned_away:
-            return Err(StoreError(detail="turned away"))
+        if self._name in self._shared.rejected_entries:
+            return Err(StoreError(detail="rejected"))
         return self._shared.append(key, value, end_offset)
 
 
-class RolloutDrive:
-    """Plays one roll-out and counts what the new version got."""
+class RolloutSimulation:
+    """Simulates one roll-out and records the requests to the new version."""
 
     def __init__(self, *, entries: int, quality: Quality, seed: int, load: float = 1.0):
         self.random = Random(seed)
@@ -107,17 +107,17 @@
         self.store = SharedStore()
         self.fleet = Fleet(entries=entries, data_centres=min(4, entries))
         self.requests_sent = 0
-        self.new_sent: list[float] = []
+        self.sent_to_new_s: list[float] = []
         self.bad_answers_s: list[float] = []
         self.running: Counter[str] = Counter()
-        self.ended_at_old_s = 0.0
+        self.last_end_at_old_s = 0.0
         self.order: Order | None = None
         self.ordered_s = 0.0
         self.upstreams = [upstream_of(f"old-{n}", version=OLD) for n in range(29)]
         self.routes = {name: _route(name) for name in ROUTES}
         for entry in self.fleet.entries.values():
             entry.dispatcher.upstreams_changed(tuple(self.upstreams))
-            self._follow(entry)
+            self._start_tasks(entry)
         for name in ROUTES:
             self._arrive(name)
 
@@ -126,19 +126,19 @@
         return self.fleet.now_s
 
     def state(self) -> str:
-        """Return what operators read."""
+        """Return the state in the status record."""
         if not self.store.records:
             return ""
         return json.loads(self.store.records[-1].value)["state"]
 
-    def start_new(self) -> None:
-        """Start upstreams of the new version beside the others."""
+    def start_new_version(self) -> None:
+        """Start upstreams of the new version in addition to the old ones."""
         self.upstreams += [upstream_of(f"new-{n}", version=NEW) for n in range(29)]
         for entry in self.fleet.entries.values():
             entry.dispatcher.upstreams_changed(tuple(self.upstreams))
 
     def give_order(self, duration_s: float) -> None:
-        """Give the order, which entries read at different moments."""
+        """Give the order, which the entries read at different times."""
         self.order = Order(service=SERVICE, target=NEW, duration_s=duration_s, number=7)
         self.ordered_s = self.now_s
         for entry in self.fleet.entries.values():
@@ -151,51 +151,56 @@
     def run(self, seconds: float) -> None:
         self.fleet.run(seconds)
 
-    def new_until(self, at_s: float) -> int:
-        """Return how many requests the new version got until then."""
-        return sum(1 for each in self.new_sent if each <= at_s)
+    def sent_to_new_until(self, at_s: float) -> int:
+        """Return the number of requests sent to the new version until `at_s`."""
+        return sum(1 for each in self.sent_to_new_s if each <= at_s)
 
-    def after_bad(self, count: int, within_s: float) -> int:
-        """Return the requests that the new version got so long after a bad answer."""
+    def sent_after_bad_answer(self, count: int, within_s: float) -> int:
+        """Return the requests to the new version after the bad answer number `count`.
+
+        Those in the first `within_s` seconds after it don't count.
+        """
         if len(self.bad_answers_s) < count:
             return 0
         limit_s = self.bad_answers_s[count - 1] + within_s
-        return sum(1 for each in self.new_sent if each > limit_s)
+        return sum(1 for each in self.sent_to_new_s if each > limit_s)
 
     def restart(self, name: str) -> None:
-        """Start an entry anew that knows nothing; what it ran has been broken off."""
+        """Restart an entry without state; its requests in flight break off."""
         old = self.fleet.entries[name]
         entry = self.fleet.restart(name)
         entry.dispatcher.upstreams_changed(tuple(self.upstreams))
         old.is_down = True
         if self.order is not None:
             entry.dispatcher.rollout_ordered(self.order)
-        self._follow(entry)
+        self._start_tasks(entry)
 
-    def _follow(self, entry: Entry) -> None:
+    def _start_tasks(self, entry: Entry) -> None:
         writer = StatusWriter(
-            store=StoreOf(shared=self.store, name=entry.me.name),
+            store=EntryStore(shared=self.store, name=entry.me.name),
             clock=self.fleet.clock,
             metrics=Metrics(),
             wishes=entry.dispatcher.rollout_records_due,
             stored=entry.dispatcher.rollout_stored,
         )
-        self._look(entry, writer)
+        self._write_status(entry, writer)
         self._read_orders(entry)
 
-    def _look(self, entry: Entry, writer: StatusWriter) -> None:
+    def _write_status(self, entry: Entry, writer: StatusWriter) -> None:
         if not entry.is_down:
             writer.look()
-        delay_s = LOOK_EVERY_S * self.random.uniform(0.9, 1.1)
+        delay_s = STATUS_PERIOD_S * self.random.uniform(0.9, 1.1)
         if self.fleet.entries[entry.me.name] is entry:
-            self.fleet.at(self.now_s + delay_s, lambda: self._look(entry, writer))
+            self.fleet.at(
+                self.now_s + delay_s, lambda: self._write_status(entry, writer)
+            )
 
     def _read_orders(self, entry: Entry) -> None:
-        if not entry.is_down and entry.me.name not in self.store.turned_away:
+        if not entry.is_down and entry.me.name not in self.store.rejected_entries:
             entry.dispatcher.orders_read(self.now_s)
         if self.fleet.entries[entry.me.name] is entry:
             self.fleet.at(
-                self.now_s + ORDERS_READ_EVERY_S, lambda: self._read_orders(entry)
+                self.now_s + ORDERS_READ_PERIOD_S, lambda: self._read_orders(entry)
             )
 
     def _arrive(self, route: str) -> None:
@@ -204,9 +209,9 @@
         self.fleet.at(self.now_s + gap_s, lambda: self._arrive(route))
         alive = [each for each in self.fleet.entries.values() if not each.is_down]
         if self.now_s > 0.0 and alive:
-            self._ask(self.random.choice(alive), route)
+            self._submit(self.random.choice(alive), route)
 
-    def _ask(self, entry: Entry, route: str) -> None:
+    def _submit(self, entry: Entry, route: str) -> None:
         ticket = Ticket(
             request_id=f"r{self.random.random()}",
             service=SERVICE,
@@ -220,11 +225,11 @@
             target_s=1.0,
             patience_s=10.0,
             resubmitted=False,
-            on_decision=lambda decision: self._decided(entry, ticket, decision),
+            on_decision=lambda decision: self._on_decision(entry, ticket, decision),
         )
         entry.dispatcher.submit(ticket)
 
-    def _decided(self, entry: Entry, ticket: Ticket, decision) -> None:
+    def _on_decision(self, entry: Entry, ticket: Ticket, decision) -> None:
         if not isinstance(decision, Dispatch):
             return
         upstream = decision.upstream
@@ -232,16 +237,18 @@
         if self.order is not None:
             self.requests_sent += 1
         if upstream.version == NEW:
-            self.new_sent.append(self.now_s)
+            self.sent_to_new_s.append(self.now_s)
         is_bad = self._is_bad(upstream, ticket.route)
-        times = self.quality.slow_times if is_bad and self.quality.slow_times else 1.0
+        times = self.quality.slow_factor if is_bad and self.quality.slow_factor else 1.0
         first_s = 0.15 * times * self.random.uniform(0.7, 1.4)
         whole_s = first_s + ROUTES[ticket.route][1] * EVENT_S * times
         self.fleet.at(
-            self.now_s + first_s, lambda: self._begin(entry, ticket, upstream)
+            self.now_s + first_s,
+            lambda: self._record_first_event(entry, ticket, upstream),
         )
         self.fleet.at(
-            self.now_s + whole_s, lambda: self._end(entry, ticket, upstream, is_bad)
+            self.now_s + whole_s,
+            lambda: self._record_end(entry, ticket, upstream, is_bad),
         )
 
     def _is_bad(self, upstream: Upstream, route: str) -> bool:
@@ -250,26 +257,28 @@
             return False
         if quality.route and route != quality.route:
             return False
-        if self.running[upstream.upstream_id] < quality.busy_from:
+        if self.running[upstream.upstream_id] < quality.busy_from_requests:
             return False
-        return self.random.random() < quality.bad
+        return self.random.random() < quality.bad_share
 
-    def _begin(self, entry: Entry, ticket: Ticket, upstream: Upstream) -> None:
+    def _record_first_event(
+        self, entry: Entry, ticket: Ticket, upstream: Upstream
+    ) -> None:
         if not entry.is_down:
             entry.dispatcher.first_event_received(ticket, upstream)
 
-    def _end(
+    def _record_end(
         self, entry: Entry, ticket: Ticket, upstream: Upstream, is_bad: bool
     ) -> None:
         self.running[upstream.upstream_id] -= 1
         if upstream.version == OLD:
-            self.ended_at_old_s = self.now_s
+            self.last_end_at_old_s = self.now_s
         if is_bad:
             self.bad_answers_s.append(self.now_s)
         if entry.is_down:
             return
         entry.dispatcher.stream_completed(ticket, ROUTES[ticket.route][1])
-        failed = is_bad and not self.quality.slow_times
+        failed = is_bad and not self.quality.slow_factor
         outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
         accepted = _Accepted(route=self.routes[ticket.route])
         entry.dispatcher.attempt_ended(ticket, upstream, accepted, outcome)
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -1,15 +1,15 @@
-"""Steps about roll-outs over many entries, without a network."""
+"""Steps for roll-outs over many entries, without a network."""
 
 import json
 
 from behave import given, then, when
 
 from features.entryfleet import SERVICE, Entry, upstream_of
-from features.rolloutdrive import (
+from features.rolloutsimulation import (
     NEW,
     OLD,
     QUALITIES,
-    RolloutDrive,
+    RolloutSimulation,
 )
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
@@ -29,124 +29,133 @@
 
 @given("{entries:d} entries, and a version that is {quality}, with seed {seed:d}")
 def step_drive(context, entries, quality, seed):
-    context.drive = RolloutDrive(entries=entries, quality=QUALITIES[quality], seed=seed)
-    context.drive.run(3.0)
-    context.drive.start_new()
-    context.drive.run(0.3)
+    context.simulation = RolloutSimulation(
+        entries=entries, quality=QUALITIES[quality], seed=seed
+    )
+    context.simulation.run(3.0)
+    context.simulation.start_new_version()
+    context.simulation.run(0.3)
 
 
-@when("it is ordered to take over within {seconds:d} s")
+@when("a {seconds:d} s roll-out to it is ordered")
 def step_order(context, seconds):
-    context.drive.give_order(float(seconds))
+    context.simulation.give_order(float(seconds))
 
 
 @when(
-    "it is ordered to take over within {seconds:d} s, and all entries start anew each "
+    "a {seconds:d} s roll-out to it is ordered, and all entries restart every "
     "{gap_s:g} s for {during_s:g} s"
 )
 def step_order_restarts(context, seconds, gap_s, during_s):
-    drive = context.drive
-    drive.give_order(float(seconds))
-    until_s = drive.now_s + during_s
-    while drive.now_s < until_s:
-        drive.run(gap_s)
-        restart_all(drive)
+    simulation = context.simulation
+    simulation.give_order(float(seconds))
+    until_s = simulation.now_s + during_s
+    while simulation.now_s < until_s:
+        simulation.run(gap_s)
+        restart_all(simulation)
 
 
 @when(
-    "it is ordered to take over within {seconds:d} s, and the first entry freezes "
-    "until it has ended"
+    "a {seconds:d} s roll-out to it is ordered, and the first entry freezes "
+    "until the roll-out ends"
 )
 def step_order_freeze(context, seconds):
-    drive = context.drive
-    drive.give_order(float(seconds))
-    drive.run(1.0)
-    drive.fleet.entries["entry-0"].is_down = True
+    simulation = context.simulation
+    simulation.give_order(float(seconds))
+    simulation.run(1.0)
+    simulation.fleet.entries["entry-0"].is_down = True
 
 
 @when(
-    "it is ordered to take over within {seconds:d} s, and the store turns {count:d} "
-    "entries away"
+    "a {seconds:d} s roll-out to it is ordered, and the store rejects {count:d} "
+    "entries"
 )
 def step_order_turned_away(context, seconds, count):
-    drive = context.drive
-    drive.give_order(float(seconds))
-    drive.run(1.0)
-    drive.store.turned_away = {f"entry-{number}" for number in range(count)}
+    simulation = context.simulation
+    simulation.give_order(float(seconds))
+    simulation.run(1.0)
+    simulation.store.rejected_entries = {f"entry-{number}" for number in range(count)}
 
 
 @when(
-    "it is ordered to take over within {seconds:d} s, and the order is withdrawn after "
+    "a {seconds:d} s roll-out to it is ordered, and the order is withdrawn after "
     "{after_s:d} s"
 )
 def step_order_withdrawn(context, seconds, after_s):
-    drive = context.drive
-    drive.give_order(float(seconds))
-    drive.run(float(after_s))
-    for entry in drive.fleet.entries.values():
-        entry.dispatcher.order_withdrawn(SERVICE, drive.order.number + 1)
+    simulation = context.simulation
+    simulation.give_order(float(seconds))
+    simulation.run(float(after_s))
+    for entry in simulation.fleet.entries.values():
+        entry.dispatcher.order_withdrawn(SERVICE, simulation.order.number + 1)
 
 
-@when("all entries start anew")
-def step_all_anew(context):
-    restart_all(context.drive)
+@when("all entries restart")
+def step_all_restart(context):
+    restart_all(context.simulation)
 
 
-def restart_all(drive: RolloutDrive) -> None:
-    for name in list(drive.fleet.entries):
-        drive.restart(name)
+def restart_all(simulation: RolloutSimulation) -> None:
+    for name in list(simulation.fleet.entries):
+        simulation.restart(name)
 
 
 @then("the roll-out ends as {state} within {seconds:d} s")
 def step_ends(context, state, seconds):
-    drive = context.drive
-    until_s = drive.ordered_s + seconds
-    while drive.now_s < until_s and drive.state() not in FINAL:
-        drive.run(0.1)
-    assert drive.state() == state, (drive.state(), drive.now_s - drive.ordered_s)
+    simulation = context.simulation
+    until_s = simulation.ordered_s + seconds
+    while simulation.now_s < until_s and simulation.state() not in FINAL:
+        simulation.run(0.1)
+    assert simulation.state() == state, (
+        simulation.state(),
+        simulation.now_s - simulation.ordered_s,
+    )
 
 
-@then("a bad version gets at most a tenth of the requests and 50 more")
+@then("a bad version receives at most a tenth of the requests plus 50")
 def step_exposure(context):
-    drive = context.drive
-    if drive.state() == "completed":
+    simulation = context.simulation
+    if simulation.state() == "completed":
         return
-    drive.run(max(0.0, drive.ordered_s + drive.order.duration_s - drive.now_s))
-    most = SHARE * drive.requests_sent + TOLERANCE
-    assert len(drive.new_sent) <= most, (len(drive.new_sent), most)
+    simulation.run(
+        max(0.0, simulation.ordered_s + simulation.order.duration_s - simulation.now_s)
+    )
+    most = SHARE * simulation.requests_sent + TOLERANCE
+    assert len(simulation.sent_to_new_s) <= most, (len(simulation.sent_to_new_s), most)
 
 
-@then("it gets none later than {seconds:d} s after its {count:d}th bad answer")
+@then("it receives none later than {seconds:d} s after its {count:d}th bad answer")
 def step_after_bad(context, seconds, count):
-    assert context.drive.after_bad(count, float(seconds)) == 0
+    assert context.simulation.sent_after_bad_answer(count, float(seconds)) == 0
 
 
-@then("nothing runs at the old version from then on")
+@then("no request is in flight at the old version from then on")
 def step_nothing_old(context):
-    drive = context.drive
-    ended_s = drive.now_s
-    drive.run(2.0)
-    assert drive.ended_at_old_s <= ended_s, drive.ended_at_old_s
-    assert all(not drive.running[f"old-{number}"] for number in range(29))
+    simulation = context.simulation
+    ended_s = simulation.now_s
+    simulation.run(2.0)
+    assert simulation.last_end_at_old_s <= ended_s, simulation.last_end_at_old_s
+    assert all(not simulation.running[f"old-{number}"] for number in range(29))
 
 
-@then("the new version gets nothing for {seconds:d} s")
+@then("the new version receives no requests for {seconds:d} s")
 def step_new_gets_nothing(context, seconds):
-    drive = context.drive
-    before = len(drive.new_sent)
-    sent_before = drive.requests_sent
-    drive.run(float(seconds))
-    assert len(drive.new_sent) == before, len(drive.new_sent) - before
-    assert drive.requests_sent > sent_before
+    simulation = context.simulation
+    before = len(simulation.sent_to_new_s)
+    sent_before = simulation.requests_sent
+    simulation.run(float(seconds))
+    assert len(simulation.sent_to_new_s) == before, (
+        len(simulation.sent_to_new_s) - before
+    )
+    assert simulation.requests_sent > sent_before
 
 
-@then("the record stays as it is when the frozen entry wakes")
+@then("the record doesn't change when the frozen entry resumes")
 def step_frozen_wakes(context):
-    drive = context.drive
-    record = drive.store.records[-1]
-    drive.fleet.entries["entry-0"].is_down = False
-    drive.run(3.0)
-    assert drive.store.records[-1] == record, drive.store.records[-1]
+    simulation = context.simulation
+    record = simulation.store.records[-1]
+    simulation.fleet.entries["entry-0"].is_down = False
+    simulation.run(3.0)
+    assert simulation.store.records[-1] == record, simulation.store.records[-1]
 
 
 @given("an entry that knows no upstreams")
@@ -191,13 +200,13 @@
     context.entry.dispatcher.orders_read(seconds)
 
 
-@when("it is ordered to move to that version")
+@when("a roll-out to that version is ordered")
 def step_order_same(context):
     order = Order(service=SERVICE, target=OLD, duration_s=12.0, number=3)
     context.entry.dispatcher.rollout_ordered(order)
 
 
-@given("an entry that knows an order and hears none of {count:d} others")
+@given("an entry that knows an order and hears from none of its {count:d} peers")
 def step_alone(context, count):
     step_entry_one(context)
     list_versions(context, OLD, NEW)
@@ -210,7 +219,7 @@
     dispatcher.rollout_stored(order, Stage.CANARY, 0.0)
 
 
-def request(context, name: str, decided) -> Ticket:
+def make_ticket(context, name: str, on_decision) -> Ticket:
     now_s = context.clock.monotonic_s()
     return Ticket(
         request_id=name,
@@ -225,17 +234,17 @@
         target_s=1.0,
         patience_s=5.0,
         resubmitted=False,
-        on_decision=decided,
+        on_decision=on_decision,
     )
 
 
 def versions_sent_to(context, count: int) -> list[str]:
-    """Send requests one after the other; return the versions that got them."""
+    """Send requests one after the other; return the versions that received them."""
     dispatcher = context.entry.dispatcher
     versions = []
     for number in range(count):
         decisions = []
-        ticket = request(context, f"r{number}", decisions.append)
+        ticket = make_ticket(context, f"r{number}", decisions.append)
         dispatcher.submit(ticket)
         (decision,) = decisions
         assert isinstance(decision, Dispatch), decision
@@ -244,22 +253,22 @@
     return versions
 
 
-@then("they get nothing")
+@then("they receive no requests")
 def step_they_get_nothing(context):
     assert set(versions_sent_to(context, 40)) == {OLD}
 
 
-@then("they get requests as the others do")
+@then("they receive requests like the others")
 def step_they_get(context):
     assert set(versions_sent_to(context, 40)) == {OLD, NEW}
 
 
-@then("they get requests")
+@then("they receive requests")
 def step_get(context):
     assert set(versions_sent_to(context, 40)) == {OLD}
 
 
-@then("the target gets nothing in {count:d} requests")
+@then("the target receives none of {count:d} requests")
 def step_target_nothing(context, count):
     for _ in range(count // 10):
         context.clock.advance(0.05)
@@ -268,18 +277,18 @@
         assert set(versions_sent_to(context, 10)) == {OLD}
 
 
-@when("a request ends there as {outcome}")
+@when("a request there ends with outcome {outcome}")
 def step_ends_as(context, outcome):
     dispatcher, decisions = context.entry.dispatcher, []
-    ticket = request(context, "r0", decisions.append)
+    ticket = make_ticket(context, "r0", decisions.append)
     dispatcher.submit(ticket)
     upstream = decisions[0].upstream
     accepted = accepted_request(resumable=False, attempts_max=1)
     dispatcher.attempt_ended(ticket, upstream, accepted, AttemptOutcome(outcome))
 
 
-@then("no place is taken")
-def step_no_place(context):
+@then("no slot is occupied")
+def step_no_slot(context):
     pool = context.entry.dispatcher._scheduler.queue(SERVICE).pool
     assert pool.in_flight() == 0, pool.own_loads()
 
@@ -291,7 +300,7 @@
 )
 
 
-@given('a reader of orders that knows one for "s"')
+@given('an order reader that knows an order for "s"')
 def step_reader(context):
     step_entry_one(context)
     context.withdrawn = []
@@ -321,7 +330,7 @@
     assert context.withdrawn == [SERVICE], context.withdrawn
 
 
-@when("the dropped record is shown once more by a read that came late")
+@when("a delayed read returns the removed record once more")
 def step_shown_again(context):
     context.orders.take(
         RecordBatch(records=(ORDER_RECORD,), next_offset=4), whole=False
@@ -361,13 +370,13 @@
     assert typical.is_slow("r", {DurationKind.UNSTREAMED: seconds})
 
 
-@when('a record says "{record}"')
+@when('the order record is "{record}"')
 def step_record(context, record):
     key = KeyedRecord(key="rollout/s", value=record.encode(), offset=1)
     context.decoded = decode_order(key)
 
 
-@then('it is refused for "{why}"')
+@then('it is rejected for "{why}"')
 def step_refused(context, why):
     assert (
         context.decoded.is_err() and why in context.decoded.err_value
--- a/lavenderspoke/direct/rollout.py
+++ b/lavenderspoke/direct/rollout.py
@@ -1,4 +1,4 @@
-"""One roll-out as one entry sees it: its own counts, and what the others told."""
+"""The state of one roll-out at one entry: its own counts and its peers' news."""
 
 from random import Random
 
@@ -11,15 +11,15 @@
 from lavenderspoke.rollouts.transitions import Progress
 from lavenderspoke.rollouts.versionload import VersionLoad
 
-# Elapsed times that are told are rounded to this, in seconds, so that they are no news
-# by themselves.
-ELAPSED_STEP_S = 0.5
-# Weight of the newest look in the rate of requests.
-RATE_WEIGHT = 0.2
+# Elapsed times in news are rounded down to a multiple of this, in seconds, so that the
+# passing of time alone doesn't change the news.
+ELAPSED_RESOLUTION_S = 0.5
+# Weight of the newest sample in the moving average of the request rate.
+NEWEST_RATE_WEIGHT = 0.2
 
 
 class Rollout:
-    """One order, as one entry sees it."""
+    """The roll-out of one order, as known to one entry."""
 
     def __init__(self, *, order: Order, now_s: float, random: Random):
         self.order = order
@@ -27,82 +27,82 @@
         self.splitter = CanarySplitter(random=random)
         self.update_due_s = now_s
         self.is_completion_due = False
-        # Since when a step has been wanted that another entry should take.
-        self._wanted: tuple[Stage, float] | None = None
+        # The transition left to the coordinator, and since when it has been wanted.
+        self._wanted_transition: tuple[Stage, float] | None = None
         self._began_s = now_s
-        self._stage_s = now_s
-        self._own: dict[str, RouteTally] = {}
-        self._peers: dict[InstanceId, RolloutNews] = {}
+        self._stage_entered_s = now_s
+        self._own_tallies: dict[str, RouteTally] = {}
+        self._peer_news: dict[InstanceId, RolloutNews] = {}
         self._requests_per_s = 0.0
-        self._looked_s = now_s
-        self._looked_requests = 0
+        self._rate_sampled_s = now_s
+        self._rate_sampled_requests = 0
 
     def elapsed_s(self, now_s: float) -> float:
-        """Return how long ago the order was seen first, by any entry."""
+        """Return the time since any entry first read the order."""
         return now_s - self._began_s
 
     def stage_age_s(self, now_s: float) -> float:
-        """Return how long ago this stage began here."""
-        return now_s - self._stage_s
+        """Return the time since this entry entered the current stage."""
+        return now_s - self._stage_entered_s
 
     def backdate(self, elapsed_s: float, now_s: float) -> None:
-        """Note that the order was there so long ago."""
+        """Move the start back to `elapsed_s` ago, unless it is earlier already."""
         self._began_s = min(self._began_s, now_s - max(0.0, elapsed_s))
 
     def enter_stage(self, stage: Stage, now_s: float) -> None:
-        """Go on to a stage."""
+        """Enter a stage and reset what belonged to the previous one."""
         self.stage = stage
-        self._stage_s = self.update_due_s = now_s
+        self._stage_entered_s = self.update_due_s = now_s
         self.is_completion_due = False
-        self._wanted = None
+        self._wanted_transition = None
         if stage.is_final:
-            # The others are told the end alone from now on.
-            self._own.clear()
-            self._peers.clear()
+            # From now on the news consists of the final stage only.
+            self._own_tallies.clear()
+            self._peer_news.clear()
 
     def transition_wanted_for_s(self, stage: Stage, now_s: float) -> float:
-        """Return for how long this step has been wanted."""
-        if self._wanted is None or self._wanted[0] is not stage:
-            self._wanted = (stage, now_s)
-        return now_s - self._wanted[1]
+        """Return for how long a transition to the stage has been wanted, 0 if new."""
+        if self._wanted_transition is None or self._wanted_transition[0] is not stage:
+            self._wanted_transition = (stage, now_s)
+        return now_s - self._wanted_transition[1]
 
     def set_completion_due(self, is_due: bool, now_s: float) -> None:
-        """Note whether the store's record should say that it is completed."""
+        """Set whether the status record should change to completed."""
         if is_due and not self.is_completion_due:
             self.update_due_s = now_s
         self.is_completion_due = is_due
 
     def record_answer(self, route: str, *, by_target: bool, is_bad: bool) -> None:
-        """Count an answer of this entry's."""
+        """Count an answer that this entry received."""
         tally = Tally(answers=1, bad=int(is_bad))
         added = RouteTally(target=tally) if by_target else RouteTally(others=tally)
-        self._own[route] = self._own.get(route, RouteTally()) + added
+        self._own_tallies[route] = self._own_tallies.get(route, RouteTally()) + added
 
     def receive_news(self, sender: InstanceId, news: RolloutNews, now_s: float) -> None:
-        """Take in what another entry tells. Its counts replace those told before."""
-        self._peers[sender] = news
+        """Store a peer's news; its counts replace those of its earlier news."""
+        self._peer_news[sender] = news
         self.backdate(news.elapsed_s, now_s)
 
     def outgoing_news(self, now_s: float) -> RolloutNews:
-        """Return what the others are told."""
+        """Return this entry's news to send to the peers."""
         elapsed_s = self.elapsed_s(now_s)
         return RolloutNews(
             service=self.order.service,
             number=self.order.number,
             stage=int(self.stage),
-            elapsed_s=elapsed_s - elapsed_s % ELAPSED_STEP_S,
+            elapsed_s=elapsed_s - elapsed_s % ELAPSED_RESOLUTION_S,
             requests=self.splitter.requests,
             to_target=self.splitter.to_target,
             routes=tuple(
                 (route, *tally_counts(tally))
-                for route, tally in sorted(self._own.items())
+                for route, tally in sorted(self._own_tallies.items())
             ),
         )
 
     def evidence(self) -> dict[str, RouteTally]:
-        """Return what all entries saw, by route; also those that have ended since."""
-        routes = dict(self._own)
-        for news in self._peers.values():
+        """Return the counts by route over all entries, including stopped ones."""
+        routes = dict(self._own_tallies)
+        for news in self._peer_news.values():
             for route, *counts in news.routes:
                 routes[route] = routes.get(route, RouteTally()) + _tally(*counts)
         return routes
@@ -110,13 +110,13 @@
     def progress(
         self,
         *,
-        places: VersionLoad,
-        answer_s: float,
+        load: VersionLoad,
+        longest_answer_s: float,
         cluster: ClusterView,
         now_s: float,
     ) -> Progress:
-        """Return what is known over all entries."""
-        peers = self._peers.values()
+        """Return the state of the roll-out, added up over all entries."""
+        peers = self._peer_news.values()
         requests = self.splitter.requests + sum(each.requests for each in peers)
         target = self.order.target
         return Progress(
@@ -127,27 +127,27 @@
             judgement=judge_canary(self.evidence()),
             requests=requests,
             to_target=self.splitter.to_target + sum(each.to_target for each in peers),
-            requests_per_s=self._rate(requests, now_s),
-            longest_answer_s=answer_s,
-            other_in_flight=places.other_in_flight(target),
+            requests_per_s=self._update_rate(requests, now_s),
+            longest_answer_s=longest_answer_s,
+            other_in_flight=load.other_in_flight(target),
             all_peers_live=cluster.all_peers_live,
-            target_slots=places.target_slots(target),
-            other_slots=places.other_slots(target),
+            target_slots=load.target_slots(target),
+            other_slots=load.other_slots(target),
             bounds=cluster.bounds,
         )
 
-    def _rate(self, requests: int, now_s: float) -> float:
-        passed_s = now_s - self._looked_s
+    def _update_rate(self, requests: int, now_s: float) -> float:
+        passed_s = now_s - self._rate_sampled_s
         if passed_s > 0.0:
-            rate = (requests - self._looked_requests) / passed_s
-            weight = RATE_WEIGHT if self._requests_per_s else 1.0
+            rate = (requests - self._rate_sampled_requests) / passed_s
+            weight = NEWEST_RATE_WEIGHT if self._requests_per_s else 1.0
             self._requests_per_s += (rate - self._requests_per_s) * weight
-            self._looked_s, self._looked_requests = now_s, requests
+            self._rate_sampled_s, self._rate_sampled_requests = now_s, requests
         return max(0.0, self._requests_per_s)
 
 
 def tally_counts(tally: RouteTally) -> tuple[int, int, int, int]:
-    """Return answers and bad ones of the target, and of the other versions."""
+    """Return the answers and bad answers of the target, then of the other versions."""
     target, others = tally.target, tally.others
     return target.answers, target.bad, others.answers, others.bad
 
--- a/lavenderspoke/rollouts/__init__.py
+++ b/lavenderspoke/rollouts/__init__.py
@@ -1,4 +1,5 @@
-"""Roll-outs: moving a service to a new version of its upstreams, judged while it runs.
+"""Roll-outs: moves a service to a new version of its upstreams, with a canary stage.
 
-Pure decisions: no thread, socket, clock or platform. Times are passed in.
+Pure decision logic without threads, sockets, clocks or platform access; times are
+passed in.
 """
--- a/lavenderspoke/rollouts/baseline.py
+++ b/lavenderspoke/rollouts/baseline.py
@@ -1,31 +1,31 @@
-"""How long answers usually take, so that slow ones are noticed."""
+"""The usual durations of answers, to detect slow ones."""
 
 import enum
 
 import attrs
 
-# An answer is slow that takes so many times as long as usual. Sound upstreams of one
-# service differ in speed by less.
-SLOW_TIMES = 3.0
-# Weight of the newest duration in the mean.
+# An answer is slow if it takes more than this many times the usual duration. Sound
+# upstreams of one service differ in speed by less.
+SLOW_RATIO = 3.0
+# Minimum weight of the newest duration in the moving average.
 NEWEST_WEIGHT = 0.05
-# Durations from which on the mean is relied on.
-KNOWN_MIN = 5
-# Means that are kept: routes come and go for as long as an entry lives.
-MEANS_MAX = 4096
+# Number of durations from which on the average is used.
+DURATIONS_MIN = 5
+# Maximum number of averages kept, since routes come and go while an entry runs.
+AVERAGES_MAX = 4096
 
 
 class DurationKind(enum.Enum):
-    """What of an answer takes time, in seconds."""
+    """The part of an answer whose duration is measured."""
 
-    FIRST_EVENT = "first"  # to the first event
-    FIRST_EVENT_PER_STEP = "step"  # the same for each step of the upstream until then
-    BETWEEN_EVENTS = "event"  # between two events
-    UNSTREAMED = "whole"  # of an answer in one piece
+    FIRST_EVENT = "first"  # from dispatch to the first event
+    FIRST_EVENT_PER_STEP = "step"  # the same per expected upstream step
+    BETWEEN_EVENTS = "event"  # mean time between two events
+    UNSTREAMED = "whole"  # the whole of an answer that isn't streamed
 
 
 @attrs.define(kw_only=True)
-class _Mean:
+class _MovingAverage:
     value_s: float = 0.0
     count: int = 0
 
@@ -36,7 +36,7 @@
 
 
 class DurationBaseline:
-    """The usual durations by route, learned from the versions in use.
+    """The usual durations by route, averaged over answers of the versions in use.
 
     >>> baseline = DurationBaseline()
     >>> for _ in range(5):
@@ -48,26 +48,27 @@
     """
 
     def __init__(self):
-        self._means: dict[tuple[str, DurationKind], _Mean] = {}
+        self._averages: dict[tuple[str, DurationKind], _MovingAverage] = {}
 
     def learn(self, route: str, durations_s: dict[DurationKind, float]) -> None:
-        """Take in an answer of a version in use."""
-        for measure, value_s in durations_s.items():
-            key = (route, measure)
-            if key not in self._means and len(self._means) >= MEANS_MAX:
-                del self._means[next(iter(self._means))]
-            self._means.setdefault(key, _Mean()).add(value_s)
+        """Add the durations of an answer from a version in use."""
+        for kind, value_s in durations_s.items():
+            key = (route, kind)
+            if key not in self._averages and len(self._averages) >= AVERAGES_MAX:
+                del self._averages[next(iter(self._averages))]
+            self._averages.setdefault(key, _MovingAverage()).add(value_s)
 
     def is_slow(self, route: str, durations_s: dict[DurationKind, float]) -> bool:
         """Return whether an answer took several times as long as usual.
 
-        A first event is late only if that is so by itself and for the steps until then:
-        long prompts take long, and at an idle upstream few steps take relatively long.
+        A first event is slow only if both its total time and its time per step are:
+        long prompts take long in total, and few steps at an idle upstream take long
+        relative to their number.
         """
         slow = {
-            measure
-            for measure, value_s in durations_s.items()
-            if self._exceeds(route, measure, value_s)
+            kind
+            for kind, value_s in durations_s.items()
+            if self._is_exceeded(route, kind, value_s)
         }
         is_first_late = {
             DurationKind.FIRST_EVENT,
@@ -77,8 +78,8 @@
             slow & {DurationKind.BETWEEN_EVENTS, DurationKind.UNSTREAMED}
         )
 
-    def _exceeds(self, route: str, measure: DurationKind, value_s: float) -> bool:
-        mean = self._means.get((route, measure))
-        if mean is None or mean.count < KNOWN_MIN:
+    def _is_exceeded(self, route: str, kind: DurationKind, value_s: float) -> bool:
+        average = self._averages.get((route, kind))
+        if average is None or average.count < DURATIONS_MIN:
             return False
-        return value_s > mean.value_s * SLOW_TIMES
+        return value_s > average.value_s * SLOW_RATIO
--- a/lavenderspoke/rollouts/evidence.py
+++ b/lavenderspoke/rollouts/evidence.py
@@ -1,14 +1,14 @@
-"""Whether a new version answers worse than those in use: the test of a canary.
+"""Canary analysis: whether a new version answers worse than the versions in use.
 
-An answer is bad if it failed, broke off or came several times slower than usual. Both
-versions are counted at the same time, so that what harms both doesn't count against the
-new one, and by route, since a version may be bad on one route only.
+An answer is bad if it failed, broke off or took several times as long as usual. The new
+version and those in use are counted over the same time, so that a fault of both doesn't
+count against the new one, and by route, since a version may be bad on one route only.
 
-The test is Wald's sequential probability ratio test. After each answer it compares how
-likely what was seen is if the target fails as often as the others do, and if it fails
-clearly more often. It can be looked at any number of times, unlike a test for a fixed
-number of answers. The usual share of bad answers is taken from the versions in use, so
-its bounds hold approximately.
+The test is Wald's sequential probability ratio test. It compares the likelihood of the
+observed answers if the target fails as often as the others with their likelihood if it
+fails clearly more often. Unlike a test for a fixed number of answers, it may be
+evaluated after every answer. The usual share of bad answers is estimated from the
+versions in use, so the error rates given below hold approximately.
 """
 
 import enum
@@ -17,32 +17,35 @@
 
 import attrs
 
-# The least share of bad answers that counts as usual: nobody's is known to be 0.
-USUAL_MIN = 0.02
-# Bad answers, and answers, added to those seen of the versions in use, so that the
-# first few decide nothing.
+# Minimum for the usual share of bad answers: a share of 0 can't be known.
+USUAL_SHARE_MIN = 0.02
+# Bad answers and answers added to the counts of the versions in use, so that the first
+# few answers don't determine the usual share.
 PRIOR_BAD = 0.5
 PRIOR_ANSWERS = 25.0
-# A target counts as bad whose share of bad answers is higher by so much, or twice.
-EXCESS = 0.15
-SHARE_MAX = 0.95
-# The log of the odds for "bad" from which on the target is bad: a sound one gets there
-# once in 500 tests.
+# A bad target exceeds the usual share of bad answers by this much, or by the usual
+# share itself if that is more.
+BAD_SHARE_EXCESS = 0.15
+BAD_SHARE_MAX = 0.95
+# Log odds at or above which the target is judged bad; a sound target gets that high in
+# one of 500 tests.
 BAD_LOG_ODDS = 6.2
-# The same for "sound" over all routes: a bad target gets there once in 100 tests.
+# Log odds over all routes at or below which the target is judged sound; a bad target
+# gets that low in one of 100 tests.
 SOUND_LOG_ODDS = -4.6
-# The same for a single route: a target that is bad there gets there once in 20.
+# The same for a single route; a target that is bad on it gets that low in one of 20.
 ROUTE_SOUND_LOG_ODDS = -3.0
-# The same where there is no time for more: a target that is bad there gets there once
-# in three.
+# The same when no time is left for more answers; a target that is bad on the route
+# gets that low in one of three.
 ROUTE_HASTY_LOG_ODDS = -1.0
-# Answers of the versions in use from which on a route must have been seen.
+# Answers of the versions in use on a route from which on the target needs evidence on
+# that route.
 ROUTE_ANSWERS_MIN = 10
 
 
 @attrs.frozen(kw_only=True)
 class Tally:
-    """Answers of one version on one route, and how many of them were bad."""
+    """The number of answers, and how many of them were bad."""
 
     answers: int = 0
     bad: int = 0
@@ -53,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class RouteTally:
-    """What was seen on one route: of the target and of the versions in use."""
+    """The answers on one route, of the target and of the versions in use."""
 
     target: Tally = Tally()
     others: Tally = Tally()
@@ -64,7 +67,7 @@
         )
 
     def log_odds(self) -> float:
-        """Return the log of the odds that the target is bad here.
+        """Return the log odds that the target is bad on this route.
 
         >>> seen = Tally(answers=200, bad=2)
         >>> good = RouteTally(target=Tally(answers=40), others=seen)
@@ -74,8 +77,8 @@
         """
         others = self.others
         usual = (others.bad + PRIOR_BAD) / (others.answers + PRIOR_ANSWERS)
-        usual = min(max(usual, USUAL_MIN), SHARE_MAX - EXCESS)
-        harmful = min(usual + max(EXCESS, usual), SHARE_MAX)
+        usual = min(max(usual, USUAL_SHARE_MIN), BAD_SHARE_MAX - BAD_SHARE_EXCESS)
+        harmful = min(usual + max(BAD_SHARE_EXCESS, usual), BAD_SHARE_MAX)
         bad = self.target.bad
         good = self.target.answers - bad
         return bad * math.log(harmful / usual) + good * math.log(
@@ -84,17 +87,17 @@
 
 
 class CanaryVerdict(enum.Enum):
-    """What the evidence says of the target."""
+    """The result of the canary analysis."""
 
     UNSURE = "unsure"
-    LIKELY_SOUND = "likely_sound"  # over all routes, with too few answers of some
+    LIKELY_SOUND = "likely_sound"  # sound over all routes, but too few answers on some
     SOUND = "sound"
     BAD = "bad"
 
 
 @attrs.frozen(kw_only=True)
 class CanaryJudgement:
-    """A verdict, the route that decided it (none: all of them), and its log odds."""
+    """A verdict, the route that decided it (empty: all routes), and its log odds."""
 
     verdict: CanaryVerdict
     route: str = ""
@@ -102,7 +105,7 @@
 
 
 def judge_canary(routes: Mapping[str, RouteTally]) -> CanaryJudgement:
-    """Return what was seen on all routes says of the target."""
+    """Return the verdict on the target from the counts of all routes."""
     total = sum(routes.values(), start=RouteTally())
     odds = {name: tally.log_odds() for name, tally in routes.items()}
     worst = max(odds, key=odds.get, default="")
@@ -116,9 +119,11 @@
     if pooled > SOUND_LOG_ODDS:
         return CanaryJudgement(verdict=CanaryVerdict.UNSURE, log_odds=pooled)
     used = [n for n, t in routes.items() if t.others.answers >= ROUTE_ANSWERS_MIN]
-    least = max(used, key=odds.get, default="")
-    if not used or odds[least] <= ROUTE_SOUND_LOG_ODDS:
+    least_certain = max(used, key=odds.get, default="")
+    if not used or odds[least_certain] <= ROUTE_SOUND_LOG_ODDS:
         return CanaryJudgement(verdict=CanaryVerdict.SOUND, log_odds=pooled)
-    is_likely = odds[least] <= ROUTE_HASTY_LOG_ODDS
+    is_likely = odds[least_certain] <= ROUTE_HASTY_LOG_ODDS
     verdict = CanaryVerdict.LIKELY_SOUND if is_likely else CanaryVerdict.UNSURE
-    return CanaryJudgement(verdict=verdict, route=least, log_odds=odds[least])
+    return CanaryJudgement(
+        verdict=verdict, route=least_certain, log_odds=odds[least_certain]
+    )
--- a/lavenderspoke/rollouts/orders.py
+++ b/lavenderspoke/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""What operators order, and how far a roll-out has come."""
+"""Operators' orders, the stages of a roll-out, and the access of upstreams."""
 
 import enum
 
@@ -9,7 +9,7 @@
 class Order:
     """An operator's order to move a service to a version within `duration_s`.
 
-    Of two orders for a service the one with the higher `number` counts.
+    Of two orders for a service, the one with the higher `number` applies.
     """
 
     service: str
@@ -19,29 +19,29 @@
 
 
 class Stage(enum.IntEnum):
-    """How far a roll-out has come; of two stages that entries name the later counts.
+    """The stage of a roll-out; if entries report different stages, the later applies.
 
-    It may be stopped at any stage before `COMPLETED`. The last two are final, and
-    only the platform's store says so: of two entries that want to end it differently,
-    the one whose record was taken decides.
+    A roll-out may be stopped at any stage before `COMPLETED`. The last two stages are
+    final and set by the platform's store only: if two entries try to end the roll-out
+    differently, the one whose record was accepted decides.
     """
 
-    ORDERED = 0  # whether it has ended before is not yet known
-    CANARY = 1  # a small share of the requests goes to the target
-    LOADED = 2  # a larger one does, to see the target under load
-    MOVING = 3  # all do, and the other versions finish what they have
-    STOPPED = 4  # none do: the target is bad
+    ORDERED = 0  # not yet known whether it has ended already
+    CANARY = 1  # the target receives a small share of the requests
+    LOADED = 2  # the target receives a larger share, to test it under load
+    MOVING = 3  # the target receives all requests; other versions drain
+    STOPPED = 4  # the target receives none: it is bad, or withdrawn
     COMPLETED = 5
     ROLLED_BACK = 6
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more happens to the roll-out."""
+        """Whether the roll-out has ended."""
         return self in (Stage.COMPLETED, Stage.ROLLED_BACK)
 
 
 class Access(enum.Enum):
-    """Which requests an upstream may get."""
+    """Which requests an upstream may receive."""
 
     OPEN = "open"
     CANARY = "canary"
