--- a/features/concurrency.feature
+++ b/features/concurrency.feature
@@ -1,14 +1,14 @@
-Feature: Many streams at once
-  The size that callers open at the same moment, through two entries.
+Feature: Many concurrent streams
+  The number of streams that callers open at the same time, through two entries.
 
-  Scenario: 200 concurrent streams through two entries are all whole
-    Every stream is open before the first token comes: the engines stand still
-    until each of the 200 runs in one of them. Then they go on together.
-    Given two entries before two frozen engines with room for 200 streams
+  Scenario: 200 concurrent streams through two entries are all complete
+    Every stream is open before the first token arrives: the engines are frozen
+    until all 200 requests run in them, and then resume together.
+    Given two entries in front of two frozen engines with slots for 200 streams
     When 200 streams of 50 tokens are opened through both entries
     And all 200 run at the same time
-    And the engines go on
-    Then every one of the 200 streams is answered whole
-    And each of the 200 ran once and no counter tells of a lost or doubled one
+    And the engines resume
+    Then each of the 200 streams gets a complete answer
+    And each of the 200 ran once and no counter shows a lost or duplicate one
     And no promise is broken
     And the resident memory of each daemon is printed
--- a/features/pacing.feature
+++ b/features/pacing.feature
@@ -1,13 +1,13 @@
-Feature: An agent takes no more than its engine runs well
+Feature: An agent limits its engine's concurrent requests
 
-  Scenario: The limit rises while an engine stays quick
+  Scenario: The limit rises while an engine stays fast
     Given a concurrency limit of at most 32 slots
     When 40 windows show first tokens after 0.05 s at the limit
     Then the limit is 32
 
-  Scenario: The limit falls while an engine is slow to begin
-    Requests beyond what the engine runs well queue inside it, where a higher
-    tier stands behind a lower one.
+  Scenario: The limit falls while an engine's first tokens are slow
+    Requests beyond the engine's capacity queue inside it, where a higher tier
+    waits behind a lower one.
     Given a concurrency limit of at most 32 slots
     When 1 windows show first tokens after 0.05 s at the limit
     And 10 windows show first tokens after 0.5 s at the limit
@@ -18,24 +18,24 @@
     When 20 windows show first tokens after 0.05 s at the limit but one after 5 s
     Then the limit is 32
 
-  Scenario: Nothing more is sent to an engine that is long at reading a prompt
-    An alert that is sent to it would stand behind the long prompt for seconds
-    while other engines are free. It waits in the entry instead, for the first
-    engine that has room.
-    Given a learned limit that has seen first tokens after 0.05 s
+  Scenario: No more requests are sent to an engine that processes a long prompt
+    An alert sent to it would wait behind the long prompt for seconds while other
+    engines are free. It waits in the entry instead, for the first engine with a
+    free slot.
+    Given an adaptive limit that has measured first tokens after 0.05 s
     When a request begins and 0.2 s pass
-    Then there is room beside it
+    Then there are free slots besides it
     When 0.1 s pass
-    Then there is no room beside it
-    When its first token comes
-    Then there is room beside it
+    Then there are no free slots besides it
+    When its first token arrives
+    Then there are free slots besides it
 
   Scenario: An unused limit doesn't rise
     Given a concurrency limit of at most 32 slots
     When 40 windows show first tokens after 0.05 s with 1 running
     Then the limit is 16
 
-  Scenario: Steps above the wanted time lower the limit
+  Scenario: Steps above the maximum time lower the limit
     Given a concurrency limit of at most 32 slots and steps of at most 0.044 s
     When 200 steps of 0.08 s are measured by the limit
     And 10 windows show first tokens after 0.05 s at the limit
@@ -52,7 +52,7 @@
     When it measures 50 steps of 0.004 s
     Then it is no straggler
 
-  Scenario: An older generation is no straggler
+  Scenario: An engine of an older generation is no straggler
     Given a straggler detector whose peers step in 0.004 s
     When it measures 300 steps of 0.012 s
     Then it is no straggler
@@ -76,8 +76,8 @@
     And 30 s pass with 0 requests running
     Then it is no straggler
 
-  Scenario: A straggler leaves the highest tier to the others
-    Given a pull caution
+  Scenario: A straggler leaves the highest tier to the other agents
+    Given a straggler pull policy
     Then a straggler may pull with lower tiers waiting at 0 s
     And a straggler may not pull with the highest tier waiting at 0.1 s
     And a straggler may not pull with the highest tier waiting at 0.9 s
@@ -86,13 +86,13 @@
     And a straggler may not pull with the highest tier waiting at 1.4 s
 
   Scenario: Retries stay within a ratio of first tries
-    Callers send everything again when they are refused. Without the bound the
-    re-sends would be as many as the first sends.
+    Callers retry every refused request. Without the bound there would be as
+    many retries as first tries.
     Given a retry allowance of ratio 0.1 and 1 a second
     When 1000 first tries and 1000 retries come over 10 s
     Then from 70 to 120 retries were allowed
 
-  Scenario: A quiet hour saves up no retries
+  Scenario: Retries don't accumulate while there are no requests
     Given a retry allowance of ratio 0.1 and 1 a second
     When 1000 first tries and 0 retries come over 10 s
     And 100 s pass without tries
--- a/features/steps/concurrency_steps.py
+++ b/features/steps/concurrency_steps.py
@@ -1,4 +1,4 @@
-"""Steps about many streams at once."""
+"""Steps for many concurrent streams."""
 
 import sys
 
@@ -11,21 +11,21 @@
 ENTRIES = ("entry-1", "entry-2")
 AGENTS = ("agent-1", "agent-2")
 ENGINES = ("engine-1", "engine-2")
-# What would count a lost request; a doubled one shows in the engines' own counts.
+# Counters of lost requests; duplicates show in the engines' own counts.
 LOST = frozenset(("refusals", "runs_failed"))
 
 
-@given("two entries before two frozen engines with room for {count:d} streams")
+@given("two entries in front of two frozen engines with slots for {count:d} streams")
 def step_frozen(context, count):
     deployment = deploy(context)
     waiting = {"requests_max": count}
     deployment.publish(document("narrative", "model", waiting=waiting))
     for name in ENTRIES:
         deployment.entry(name)
-    room = str(count // 2)
+    slots = str(count // 2)
     for name, engine in zip(AGENTS, ENGINES):
-        upstream = deployment.stage.engine(engine, "--slots", room)
-        # A limit that is learned would begin lower and grow by answers.
+        upstream = deployment.stage.engine(engine, "--slots", slots)
+        # A learned limit would start lower and rise with the answers.
         deployment.agent(
             name, "narrative", upstream, slots_max=count // 2, learns_limit=False
         )
@@ -50,7 +50,7 @@
 
 
 def running(context) -> int:
-    """Return how many requests the entries know to run."""
+    """Return the number of running requests as reported by the entries."""
     statuses = [context.deployment.status(name) for name in ENTRIES]
     services = [tiers for each in statuses for tiers in each["running"].values()]
     return sum(sum(tiers.values()) for tiers in services)
@@ -61,13 +61,13 @@
     wait_until(lambda: running(context) == count, WAIT_S, f"{count} run at once")
 
 
-@when("the engines go on")
+@when("the engines resume")
 def step_go_on(context):
     for engine in context.deployment.upstreams.values():
         engine.set_faults(freeze=False)
 
 
-@then("every one of the {count:d} streams is answered whole")
+@then("each of the {count:d} streams gets a complete answer")
 def step_all_whole(context, count):
     assert len(context.sends) == count
     for label in context.sends:
@@ -75,7 +75,7 @@
         assert len(streamed_tokens(sent.body)) == context.tokens, (label, sent)
 
 
-@then("each of the {count:d} ran once and no counter tells of a lost or doubled one")
+@then("each of the {count:d} ran once and no counter shows a lost or duplicate one")
 def step_counters(context, count):
     counts = [each.counts()["runs"] for each in context.deployment.upstreams.values()]
     runs = [times for each in counts for times in each.values()]
@@ -96,5 +96,5 @@
         for name in ENTRIES + AGENTS
     }
     text = ", ".join(f"{name} {size:.1f} MiB" for name, size in sizes.items())
-    # Past behave's capture: the figure is wanted from a run that passes.
+    # Bypasses behave's capture, so that passing runs print the figure too.
     print(f"resident memory at 200 streams: {text}", file=sys.__stderr__, flush=True)
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -56,41 +56,41 @@
     assert 1 <= context.limit.limit < bound, context.limit.limit
 
 
-@given("a learned limit that has seen first tokens after {latency:g} s")
-def step_learned(context, latency):
-    context.learned, context.now_s = AdaptiveLimit(slots_max=8), 0.0
+@given("an adaptive limit that has measured first tokens after {latency:g} s")
+def step_adaptive(context, latency):
+    context.adaptive, context.now_s = AdaptiveLimit(slots_max=8), 0.0
     for number in range(WINDOW_SAMPLES):
-        context.learned.started(str(number), context.now_s)
+        context.adaptive.started(str(number), context.now_s)
         context.now_s += latency
-        context.learned.piece_received(str(number), context.now_s)
-        context.learned.finished(str(number), context.now_s)
+        context.adaptive.piece_received(str(number), context.now_s)
+        context.adaptive.finished(str(number), context.now_s)
 
 
 @when("a request begins and {seconds:g} s pass")
-def step_learned_begins(context, seconds):
-    context.learned.started("long", context.now_s)
-    step_learned_pass(context, seconds)
+def step_adaptive_begins(context, seconds):
+    context.adaptive.started("long", context.now_s)
+    step_adaptive_pass(context, seconds)
 
 
 @when("{seconds:g} s pass")
-def step_learned_pass(context, seconds):
+def step_adaptive_pass(context, seconds):
     context.now_s += seconds
-    context.learned.tick(context.now_s)
+    context.adaptive.tick(context.now_s)
 
 
-@when("its first token comes")
-def step_learned_token(context):
-    context.learned.piece_received("long", context.now_s)
+@when("its first token arrives")
+def step_adaptive_token(context):
+    context.adaptive.piece_received("long", context.now_s)
 
 
-@then("there is room beside it")
-def step_learned_room(context):
-    assert context.learned.slots > 1
+@then("there are free slots besides it")
+def step_adaptive_free(context):
+    assert context.adaptive.slots > 1
 
 
-@then("there is no room beside it")
-def step_learned_full(context):
-    assert context.learned.slots == 1
+@then("there are no free slots besides it")
+def step_adaptive_full(context):
+    assert context.adaptive.slots == 1
 
 
 @given("a straggler detector")
@@ -134,14 +134,14 @@
     assert not context.detector.is_straggling(context.now_s)
 
 
-@given("a pull caution")
-def step_caution(context):
-    context.caution = StragglerPullPolicy()
+@given("a straggler pull policy")
+def step_pull_policy(context):
+    context.pull_policy = StragglerPullPolicy()
 
 
 def allows(context, which, now_s):
     waiting = {1: 5, 3: 2} if which == "the highest tier" else {1: 5}
-    return context.caution.allows_pull(
+    return context.pull_policy.allows_pull(
         straggling=True, waiting=waiting, highest_rank=3, now_s=now_s
     )
 
@@ -175,7 +175,7 @@
 
 
 @when("{seconds:g} s pass without tries")
-def step_quiet(context, seconds):
+def step_no_tries(context, seconds):
     context.now_s += seconds
 
 
--- a/lavenderspoke/capacity/__init__.py
+++ b/lavenderspoke/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""How many requests an upstream is given at a time, learned from how it answers."""
+"""Concurrency limits of upstreams, learned from their latencies."""
--- a/lavenderspoke/capacity/concurrency.py
+++ b/lavenderspoke/capacity/concurrency.py
@@ -1,30 +1,30 @@
-"""How many requests an engine runs at once before it slows them down.
+"""A limit on an engine's concurrent requests that adapts to its latency.
 
-An engine admits whatever it is given and queues inside, where tiers don't
-count. So the agent gives it no more than it runs well, learned from what the
-agent measures itself: additive increase while the limit is used and the engine
-is quick, multiplicative decrease when it isn't.
+An engine admits every request and queues internally, where tiers have no
+effect. So the agent limits the requests in flight by the latencies that it
+measures itself: additive increase while the limit is reached and the engine is
+fast, multiplicative decrease when it isn't.
 """
 
 from statistics import median
 
-# Samples of first-token latency that make up one decision.
+# Samples of first-token latency for each adjustment.
 WINDOW_SAMPLES = 8
-# Congested when the median of a window is above this many times the baseline.
-TOLERANCE = 5.0
-# The baseline follows a slower engine up by this part a window.
+# The engine is congested if a window's median exceeds this many times the baseline.
+CONGESTED_RATIO = 5.0
+# Largest relative rise of the baseline per window, to follow a slower engine.
 BASELINE_GROWTH = 0.02
-DECREASE = 0.8
-# Weight of the newest step in the mean step time.
+DECREASE_FACTOR = 0.8
+# Weight of the newest step in the moving average of the step time.
 STEP_WEIGHT = 0.1
 
 
 class ConcurrencyLimit:
-    """The limit learned for one engine, between 1 and `slots_max`.
+    """The learned limit of one engine, between 1 and `slots_max`.
 
-    `step_max_s` bounds the time between tokens where one is wanted. Latencies
-    are compared by the median of a window, so that one prompt a hundred times
-    longer isn't taken for a slow engine.
+    `step_max_s` is the longest acceptable time between tokens; None means no
+    bound. Latencies are compared by the median of a window, so that one prompt
+    a hundred times longer isn't mistaken for congestion.
     """
 
     def __init__(self, *, slots_max: int, step_max_s: float | None = None):
@@ -34,47 +34,50 @@
         self._baseline_s: float | None = None
         self._step_s: float | None = None
         self._samples_s: list[float] = []
-        self._reached = False
+        self._is_limit_reached = False
 
     @property
     def limit(self) -> int:
-        """The number of requests to run at once."""
+        """The maximum number of concurrent requests."""
         return max(1, int(self._limit))
 
     def free_slots(self, running: int) -> int:
-        """Return how many more may start beside those that run."""
+        """Return how many more requests may start besides the running ones."""
         return max(0, self.limit - running)
 
     def is_congested(self, latency_s: float) -> bool:
-        """Return whether a first token that comes no sooner means congestion."""
-        return self._baseline_s is not None and latency_s > TOLERANCE * self._baseline_s
+        """Return whether a first-token latency indicates congestion."""
+        return (
+            self._baseline_s is not None
+            and latency_s > CONGESTED_RATIO * self._baseline_s
+        )
 
     def record_step(self, step_s: float) -> None:
-        """Take in the time of one engine step."""
+        """Record the duration of one engine step."""
         if self._step_s is None:
             self._step_s = step_s
         self._step_s += (step_s - self._step_s) * STEP_WEIGHT
 
     def record_first_token(self, latency_s: float, running: int) -> None:
-        """Take in the time from dispatch to first token with `running` at once."""
+        """Record the time from dispatch to first token with `running` requests."""
         self._samples_s.append(latency_s)
-        self._reached = self._reached or running >= self.limit
+        self._is_limit_reached = self._is_limit_reached or running >= self.limit
         if len(self._samples_s) >= WINDOW_SAMPLES:
-            self._decide(median(self._samples_s))
+            self._adjust(median(self._samples_s))
             self._samples_s = []
-            self._reached = False
+            self._is_limit_reached = False
 
-    def _decide(self, latency_s: float) -> None:
+    def _adjust(self, latency_s: float) -> None:
         if self._baseline_s is None:
             self._baseline_s = latency_s
-        grown_s = self._baseline_s * (1.0 + BASELINE_GROWTH)
-        self._baseline_s = min(grown_s, latency_s)
-        slow_steps = (
+        raised_s = self._baseline_s * (1.0 + BASELINE_GROWTH)
+        self._baseline_s = min(raised_s, latency_s)
+        has_slow_steps = (
             self._step_max_s is not None
             and self._step_s is not None
             and self._step_s > self._step_max_s
         )
-        if slow_steps or self.is_congested(latency_s):
-            self._limit = max(1.0, self._limit * DECREASE)
-        elif self._reached:
+        if has_slow_steps or self.is_congested(latency_s):
+            self._limit = max(1.0, self._limit * DECREASE_FACTOR)
+        elif self._is_limit_reached:
             self._limit = min(float(self._slots_max), self._limit + 1.0)
--- a/lavenderspoke/capacity/limits.py
+++ b/lavenderspoke/capacity/limits.py
@@ -1,4 +1,4 @@
-"""How many requests an upstream is given at a time."""
+"""Limits on the concurrent requests of an upstream."""
 
 from typing import Protocol
 
@@ -6,28 +6,28 @@
 
 
 class Limit(Protocol):
-    """A limit says how many slots an upstream has, and may learn it."""
+    """The number of slots of an upstream, fixed or learned."""
 
     slots: int
     straggling: bool
     step_s: float
 
     def tick(self, now_s: float) -> None:
-        """Note the time."""
+        """Advance the time."""
 
     def started(self, request_id: str, now_s: float) -> None:
-        """Note that a request was dispatched."""
+        """Record the dispatch of a request."""
 
     def piece_received(self, request_id: str, now_s: float) -> None:
-        """Note that a part of an answer came."""
+        """Record the arrival of a piece of an answer."""
 
     def finished(self, request_id: str, now_s: float) -> None:
-        """Note that a run has ended, in whatever way."""
+        """Record the end of a request, whatever its outcome."""
 
 
 @attrs.define(kw_only=True)
 class FixedLimit:
-    """A fixed limit never learns."""
+    """A limit that never changes."""
 
     slots: int
     straggling: bool = False
--- a/lavenderspoke/capacity/straggler.py
+++ b/lavenderspoke/capacity/straggler.py
@@ -1,28 +1,30 @@
-"""Whether the engine beside an agent has become a straggler.
+"""Detects whether an agent's engine has become a straggler.
 
-The load that an engine reports lags, so it isn't used. What counts is how the
-measured step time stands to the engine's own history and, where other agents'
-step times are known, to how it stood to theirs: engines are unlike, and on a
-busy day all of them slow down together.
+The load that an engine reports lags, so it isn't used. The measured step time
+is compared with the engine's own history and, if other agents' step times are
+known, with its usual ratio to theirs: engines differ in speed, and under high
+load all of them slow down together.
 """
 
 from statistics import median
 
 import attrs
 
-# A straggler at or above this ratio, and no longer one below the other.
-SLOW_RATIO = 2.5
+# Ratio to the usual step time from which on an engine is a straggler, and below which
+# it stops being one.
+STRAGGLER_RATIO = 2.5
 RECOVERED_RATIO = 1.5
-# A stream in flight without a token for this many usual steps.
+# An engine with requests in flight is stalled if no token arrives for this many usual
+# steps, and for at least the time below, in seconds.
 STALLED_STEPS = 50.0
 STALLED_MIN_S = 1.0
-# Weights of the newest step in the recent and in the usual step time.
+# Weights of the newest step in the moving averages of recent and usual step times.
 RECENT_WEIGHT = 0.2
 USUAL_WEIGHT = 0.002
-STEPS_MIN = 20
-PEER_KEPT_S = 10.0
-# How long the highest tier must have waited before a straggler helps with it.
-YIELD_S = 1.0
+KNOWN_STEPS_MIN = 20
+PEER_STEP_MAX_AGE_S = 10.0
+# Time in seconds that the highest tier must have waited before a straggler pulls.
+HIGHEST_TIER_WAIT_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
@@ -32,7 +34,7 @@
 
 
 class StragglerDetector:
-    """The agent's judgement of its own engine.
+    """Detects from step times whether the agent's own engine is a straggler.
 
     >>> detector = StragglerDetector()
     >>> for number in range(100):
@@ -44,89 +46,95 @@
     def __init__(self):
         self._recent_s: float | None = None
         self._usual_s = 0.0
-        self._usual_to_peers: float | None = None
+        self._usual_peer_ratio: float | None = None
         self._steps = 0
-        self._last_s = 0.0
+        self._last_step_s = 0.0
         self._running = 0
         self._straggling = False
-        self._peers: dict[str, _PeerStep] = {}
+        self._peer_steps: dict[str, _PeerStep] = {}
 
     @property
     def step_s(self) -> float:
-        """The recent step time, to be announced."""
+        """The recent average step time in seconds, announced to the entries."""
         return self._recent_s or 0.0
 
     def set_running(self, running: int, now_s: float) -> None:
-        """Note how many requests run now, after one began or ended."""
+        """Set the number of running requests, after one started or finished."""
         if self._running == 0:
-            self._last_s = now_s
+            self._last_step_s = now_s
         self._running = running
 
     def record_step(self, step_s: float, *, now_s: float) -> None:
-        """Take in one measured step time."""
-        self._last_s = now_s
+        """Record one measured step time."""
+        self._last_step_s = now_s
         self._steps += 1
         if self._recent_s is None:
             self._recent_s = self._usual_s = step_s
         self._recent_s += (step_s - self._recent_s) * RECENT_WEIGHT
         weight = max(USUAL_WEIGHT, 1.0 / self._steps)
-        # A straggler's steps must not become what is usual.
-        if not self._slow(now_s):
+        # A straggler's steps must not raise the usual step time.
+        if not self._is_slow(now_s):
             self._usual_s += (step_s - self._usual_s) * weight
-            self._learn_peers(weight, now_s)
+            self._update_peer_ratio(weight, now_s)
 
     def record_peer_step(self, name: str, step_s: float, now_s: float) -> None:
-        """Take in another agent's announced step time."""
+        """Record another agent's announced step time."""
         if step_s > 0.0:
-            self._peers[name] = _PeerStep(step_s=step_s, at_s=now_s)
+            self._peer_steps[name] = _PeerStep(step_s=step_s, at_s=now_s)
 
     def is_straggling(self, now_s: float) -> bool:
-        """Return whether the engine is a straggler now."""
-        if self._steps < STEPS_MIN:
+        """Return whether the engine is currently a straggler."""
+        if self._steps < KNOWN_STEPS_MIN:
             return False
-        bound = RECOVERED_RATIO if self._straggling else SLOW_RATIO
-        self._straggling = self._stalled(now_s) or self._ratio(now_s) >= bound
+        bound = RECOVERED_RATIO if self._straggling else STRAGGLER_RATIO
+        self._straggling = self._is_stalled(now_s) or self._slowdown(now_s) >= bound
         return self._straggling
 
-    def _slow(self, now_s: float) -> bool:
-        return self._steps >= STEPS_MIN and self._ratio(now_s) >= RECOVERED_RATIO
+    def _is_slow(self, now_s: float) -> bool:
+        return (
+            self._steps >= KNOWN_STEPS_MIN and self._slowdown(now_s) >= RECOVERED_RATIO
+        )
 
-    def _stalled(self, now_s: float) -> bool:
+    def _is_stalled(self, now_s: float) -> bool:
         bound_s = max(STALLED_MIN_S, STALLED_STEPS * self._usual_s)
-        return self._running > 0 and now_s - self._last_s > bound_s
+        return self._running > 0 and now_s - self._last_step_s > bound_s
 
-    def _ratio(self, now_s: float) -> float:
-        own = self._recent_s / self._usual_s if self._usual_s else 1.0
-        peers_s = self._peers_step_s(now_s)
-        if peers_s is None or self._usual_to_peers is None:
-            return own
-        return min(own, self._recent_s / peers_s / self._usual_to_peers)
+    def _slowdown(self, now_s: float) -> float:
+        own_ratio = self._recent_s / self._usual_s if self._usual_s else 1.0
+        peers_s = self._median_peer_step_s(now_s)
+        if peers_s is None or self._usual_peer_ratio is None:
+            return own_ratio
+        return min(own_ratio, self._recent_s / peers_s / self._usual_peer_ratio)
 
-    def _learn_peers(self, weight: float, now_s: float) -> None:
-        peers_s = self._peers_step_s(now_s)
+    def _update_peer_ratio(self, weight: float, now_s: float) -> None:
+        peers_s = self._median_peer_step_s(now_s)
         if peers_s is None:
             return
-        to_peers = self._recent_s / peers_s
-        if self._usual_to_peers is None:
-            self._usual_to_peers = to_peers
-        self._usual_to_peers += (to_peers - self._usual_to_peers) * weight
-
-    def _peers_step_s(self, now_s: float) -> float | None:
-        known = [p.step_s for p in self._peers.values() if now_s < p.at_s + PEER_KEPT_S]
+        peer_ratio = self._recent_s / peers_s
+        if self._usual_peer_ratio is None:
+            self._usual_peer_ratio = peer_ratio
+        self._usual_peer_ratio += (peer_ratio - self._usual_peer_ratio) * weight
+
+    def _median_peer_step_s(self, now_s: float) -> float | None:
+        known = [
+            p.step_s
+            for p in self._peer_steps.values()
+            if now_s < p.at_s + PEER_STEP_MAX_AGE_S
+        ]
         return median(known) if known else None
 
 
 class StragglerPullPolicy:
-    """Keeps a straggler from work that others would answer sooner.
+    """Keeps a straggler from pulling requests that others would answer sooner.
 
-    Tiers are served strictly, so a straggler can't be offered just the lower
-    ones of what waits. It lets the others pull first instead: while the
-    service's highest tier waits it doesn't pull, unless that tier has waited
-    all along for `YIELD_S`, which means that the others can't carry it.
+    Tiers are served in strict priority, so a straggler can't pull lower tiers
+    only. Instead it doesn't pull while requests of the service's highest tier
+    wait, unless that tier has had waiting requests for all of
+    `HIGHEST_TIER_WAIT_S`, which means that the other agents lack the capacity.
     """
 
     def __init__(self):
-        self._since_s: float | None = None
+        self._waiting_since_s: float | None = None
 
     def allows_pull(
         self,
@@ -136,10 +144,10 @@
         highest_rank: int,
         now_s: float,
     ) -> bool:
-        """Return whether to pull, given what waits by rank."""
+        """Return whether to pull, given the number of waiting requests by rank."""
         if not waiting.get(highest_rank):
-            self._since_s = None
+            self._waiting_since_s = None
             return True
-        if self._since_s is None:
-            self._since_s = now_s
-        return not straggling or now_s - self._since_s >= YIELD_S
+        if self._waiting_since_s is None:
+            self._waiting_since_s = now_s
+        return not straggling or now_s - self._waiting_since_s >= HIGHEST_TIER_WAIT_S
