--- a/features/metrics.feature
+++ b/features/metrics.feature
@@ -12,15 +12,15 @@
       | lavenderspoke_waiting 7                                                     |
     And the median latency is within 1 % of 20 ms
 
-  Scenario: Labels from outside can't forge a line
+  Scenario: Label values can't inject a line
     Given metrics with a counter whose reason holds quotes and line breaks
     Then the metrics page has 2 lines
 
-  Scenario: Names without end don't take memory without end
+  Scenario: Memory is bounded however many names are used
     Given metrics with latencies of 1000 services and 3000 counters
     Then there are at most 257 latencies and 1025 counters
-    And nothing that was counted is missing
+    And no count is missing
 
-  Scenario: Threads lose no count
+  Scenario: No count is lost between threads
     Given metrics that 8 threads count 500 times each
     Then the counter reads 4000
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a request's story from logs."""
+"""Steps for explaining a request from logs."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 def logged_id(context, outcome: str) -> str:
-    """Return the id of the entry's request that ended so, once it is logged."""
+    """Return the id of the entry's request with that outcome, once it is logged."""
     process = context.platform.entries["entry-1"].process
 
     def found() -> str | None:
@@ -19,7 +19,7 @@
                 return fields["request"]
         return None
 
-    return wait_until(found, 5.0, f"a line of a request that ended as {outcome}")
+    return wait_until(found, 5.0, f"a line of a request with outcome {outcome}")
 
 
 def explain(context, request_id: str) -> None:
@@ -39,7 +39,7 @@
     explain(context, logged_id(context, "answer_incomplete"))
 
 
-@then('the story says "{text}"')
+@then('the explanation contains "{text}"')
 def step_says(context, text):
     assert text in context.done.stdout, context.done.stdout
 
@@ -49,7 +49,7 @@
     return json.dumps({"time": time, "daemon": daemon, "message": message} | fields)
 
 
-@given("log files with cut, foreign and swapped lines about one request")
+@given("log files with truncated, unrelated and reordered lines about one request")
 def step_files(context):
     directory = stage_of(context).directory
     request = record(
@@ -79,13 +79,13 @@
     assert context.done.returncode == 0, context.done
 
 
-@then("the story tells the lost store before the regained one")
+@then("the explanation lists the loss of the store before its recovery")
 def step_order(context):
     lost = context.done.stdout.index("store lost: topic=t")
     assert lost < context.done.stdout.index("store regained: topic=t")
 
 
-@then("the story leaves out what another process wrote")
-def step_left_out(context):
+@then("the explanation omits what another process wrote")
+def step_omitted(context):
     assert "another's" not in context.done.stdout
     assert "after the request" not in context.done.stdout
--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -41,7 +41,7 @@
     logged(context, log_exception)
 
 
-@when("a daemon logs a credential in every way it knows")
+@when("a daemon logs a credential in every supported form")
 def step_logs_credential(context):
     logged(
         context,
@@ -95,22 +95,22 @@
             context.longest_s = max(context.longest_s, time.monotonic() - began_s)
 
 
-@then("each took less than 100 ms, and the pipe's reader learns how many are missing")
+@then("each call took less than 100 ms, and the log reports how many lines are missing")
 def step_missing(context):
     assert context.longest_s < 0.1, context.longest_s
-    numbers, left_out = 0, None
+    numbers, dropped = 0, None
     for text in context.reading:
         line = json.loads(text)
         if line["message"] == "lines left out":
-            left_out = line["count"]
+            dropped = line["count"]
             break
         numbers += 1
         if numbers > 6000:
             break
-    assert left_out is not None and 0 < left_out < 6000, left_out
+    assert dropped is not None and 0 < dropped < 6000, dropped
 
 
-@when("a daemon that gets no more threads logs a line, and waits for it")
+@when("a daemon that can't start threads logs a line and waits until it is written")
 def step_drain_without_thread(context):
     reader, writer = os.pipe()
     context.add_cleanup(os.close, reader)
@@ -120,7 +120,7 @@
         context.stream.write("last line\n")
         context.stream.drain(10.0)
         context.read = os.read(reader, 100)
-        # More than a pipe holds.
+        # More than the pipe buffer holds.
         context.stream.write("x" * 200_000)
         context.stream.drain(0.1)
 
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -15,7 +15,7 @@
 
 
 @given("metrics with a counter whose reason holds quotes and line breaks")
-def step_forged(context):
+def step_injected(context):
     context.metrics = Metrics()
     context.metrics.count("refusals", 'x"} 1\nforged{a="')
 
@@ -70,7 +70,7 @@
     assert len(snapshot["counters"]["refusals"]) <= counters
 
 
-@then("nothing that was counted is missing")
+@then("no count is missing")
 def step_nothing_missing(context):
     snapshot = context.metrics.snapshot()
     assert sum(snapshot["counters"]["refusals"].values()) == 3000
--- a/features/steps/rollout_logs_steps.py
+++ b/features/steps/rollout_logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the command that tells the course of roll-outs."""
+"""Steps for the command that prints the history of roll-outs."""
 
 import json
 import pathlib
@@ -39,7 +39,7 @@
         "entry-1": [
             record("entry-1", 1.0, "roll-out ordered", target="v2", number=7),
             goes_on("entry-1", 1.2, "canary", "the store's record"),
-            goes_on("entry-1", 3.1, "stopped", "told by entry-2"),
+            goes_on("entry-1", 3.1, "stopped", "reported by entry-2"),
             record(
                 "entry-1", 3.3, "roll-out record written", order=7, state="rolled_back"
             ),
@@ -75,12 +75,12 @@
         context.result = CliRunner().invoke(app, ["rollouts", *paths])
 
 
-@then('it says "{text}"')
+@then('the history contains "{text}"')
 def step_says(context, text):
     assert text in context.result.stdout, context.result.stdout
 
 
-@then("the command says that there is none")
+@then("the command reports that there is none")
 def step_fails(context):
     error = context.result.exception
     assert isinstance(error, UserError) and error.exit_status == 1, error
--- a/lavenderspoke/observing/__init__.py
+++ b/lavenderspoke/observing/__init__.py
@@ -1,1 +1,1 @@
-"""What the daemons tell of themselves: logs, metrics, a request's story."""
+"""Observability: logs, metrics, and analysis of log files."""
--- a/lavenderspoke/observing/explaining.py
+++ b/lavenderspoke/observing/explaining.py
@@ -1,8 +1,8 @@
-"""Tells one request's story from the log lines of several processes.
+"""Explains the outcome of a request from the log lines of several processes.
 
-A request's line says what became of it; what explains it stands in other lines of
-the same process shortly before: a store that was lost, an upstream that left, a
-stop. Lines may be cut, foreign, or out of order: files are read as they are found.
+A request's log line has its outcome; the cause is often in other lines of the same
+process shortly before: an unreachable store, a removed upstream, a shutdown. Lines may
+be truncated, from other programs, or out of order.
 """
 
 import datetime
@@ -13,36 +13,36 @@
 
 from lavenderspoke.problems import Reason
 
-REQUEST = "request"
-# How long before a request's arrival a line may still explain it, in seconds: keys
-# are honoured for some five seconds after the last read of the store.
-BEFORE_S = 10.0
+REQUEST_MESSAGE = "request"
+# Time before a request's arrival from which on log lines may explain its outcome, in
+# seconds: API keys are accepted for some five seconds after the last read of the store.
+LOOKBACK_S = 10.0
 
 MEANINGS = {
-    "whole": "The upstream's answer went to the caller whole.",
+    "whole": "The caller got the upstream's complete answer.",
     "broken": "The answer broke off after it had begun; the caller saw that.",
-    Reason.CALLER_GONE.value: "The caller left before the end; work was cancelled.",
-    Reason.NO_ROOM.value: "No upstream had a place in time; it has not run.",
+    Reason.CALLER_GONE.value: "The caller disconnected; the request was cancelled.",
+    Reason.NO_ROOM.value: "No upstream had a free slot in time; it has not run.",
     Reason.NO_UPSTREAM.value: "No upstream of the service was known; it has not run.",
     Reason.CUSTOMER_LIMIT.value: "Its customer was over its limit; it has not run.",
-    Reason.KEYS_STALE.value: "The store was out of reach for too long to trust keys.",
-    Reason.UNAUTHORIZED.value: "The key was missing or unknown in that version.",
-    Reason.NO_ROUTE.value: "No route of that version leads there.",
+    Reason.KEYS_STALE.value: "The store was unreachable for too long to trust keys.",
+    Reason.UNAUTHORIZED.value: "The API key was missing or unknown in that version.",
+    Reason.NO_ROUTE.value: "No route of that version matched the request.",
     Reason.NO_DOCUMENT.value: "The entry had no configuration yet.",
-    Reason.DRAINING.value: "The entry was stopping; it has not run.",
+    Reason.DRAINING.value: "The entry was shutting down; it has not run.",
     Reason.CRASHES_UPSTREAMS.value: "Its content crashed upstreams; it has not run.",
-    Reason.ANSWER_INCOMPLETE.value: "It may have run, and no whole answer came.",
-    Reason.DEADLINE_EXPIRED.value: "Time ran out; an upstream may have run it.",
-    Reason.DEADLINE_UNREACHABLE.value: "Time ran out in line; it has not run.",
+    Reason.ANSWER_INCOMPLETE.value: "It may have run, but no complete answer arrived.",
+    Reason.DEADLINE_EXPIRED.value: "The deadline expired; an upstream may have run it.",
+    Reason.DEADLINE_UNREACHABLE.value: "Time ran out in the queue; it has not run.",
     Reason.BAD_REQUEST.value: "The request could not be understood; it has not run.",
-    Reason.BODY_TOO_LARGE.value: "The body was too long; it has not run.",
-    Reason.BODY_TIMEOUT.value: "The body came too slowly; it has not run.",
+    Reason.BODY_TOO_LARGE.value: "The body was too large; it has not run.",
+    Reason.BODY_TIMEOUT.value: "The body arrived too slowly; it has not run.",
 }
 
 
 @attrs.frozen(kw_only=True)
 class LogLine:
-    """A log line; `at_s` is seconds since 1970 by the clock of its machine."""
+    """A log line; `at_s` is Unix time in seconds by the clock of its machine."""
 
     daemon: str
     message: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen(kw_only=True)
 class Explanation:
-    """A request's own line, what it means, and the lines that may explain it."""
+    """A request's log line, its meaning, and the lines that may explain it."""
 
     line: LogLine
     meaning: str
@@ -61,21 +61,21 @@
 
 @attrs.frozen(kw_only=True)
 class ParsedLogs:
-    """What was read; `skipped` counts lines that hold no log record."""
+    """The parsed log lines; `skipped` counts the lines without a log record."""
 
     lines: tuple[LogLine, ...]
     skipped: int
 
 
 def parse_logs(texts: Iterable[str]) -> ParsedLogs:
-    """Read the lines of any number of files.
+    """Parse the lines of any number of files and sort them by time.
 
-    What stands before the record's first brace is left out: tools that gather logs
-    put names and times there.
+    Text before the first brace of a line is ignored: log collectors put names and
+    times there.
     """
     lines, skipped = [], 0
     for text in texts:
-        line = _line(text)
+        line = _parse_line(text)
         if line is None:
             skipped += bool(text.strip())
         else:
@@ -84,7 +84,7 @@
     return ParsedLogs(lines=tuple(lines), skipped=skipped)
 
 
-def _line(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
@@ -101,27 +101,27 @@
         return None
 
 
-def explain_request(lines: ParsedLogs, request_id: str) -> list[Explanation]:
-    """Return the story of each line that this request has, in order of time.
+def explain_request(logs: ParsedLogs, request_id: str) -> list[Explanation]:
+    """Return an explanation for each log line of the request, in order of time.
 
-    There is one for each entry that was asked; more than one for a caller that
-    used an id again.
+    There is one line for each entry that handled it, or more if the caller reused
+    the id.
     """
     return [
-        _story(line, lines)
-        for line in lines.lines
-        if line.message == REQUEST and line.fields.get("request") == request_id
+        _explain(line, logs)
+        for line in logs.lines
+        if line.message == REQUEST_MESSAGE and line.fields.get("request") == request_id
     ]
 
 
-def _story(line: LogLine, lines: ParsedLogs) -> Explanation:
+def _explain(line: LogLine, logs: ParsedLogs) -> Explanation:
     arrived_s = line.at_s - (line.fields.get("whole_s") or 0.0)
     around = [
         each
-        for each in lines.lines
+        for each in logs.lines
         if each.daemon == line.daemon
-        and each.message != REQUEST
-        and arrived_s - BEFORE_S <= each.at_s <= line.at_s
+        and each.message != REQUEST_MESSAGE
+        and arrived_s - LOOKBACK_S <= each.at_s <= line.at_s
     ]
     outcome = str(line.fields.get("outcome"))
     meaning = MEANINGS.get(outcome, f"It ended as {outcome}.")
--- a/lavenderspoke/observing/logs.py
+++ b/lavenderspoke/observing/logs.py
@@ -1,4 +1,4 @@
-"""The daemons' logs: one JSON object a line."""
+"""The daemons' logs: one JSON object per line."""
 
 import json
 import queue
@@ -12,13 +12,13 @@
 SECRET_FIELDS = re.compile(r"authorization|credential|token$|secret|password", re.I)
 SECRET_TEXT = re.compile(r"\b(bearer|basic)\s+[^\s\"',]+", re.I)
 REDACTED = "[redacted]"
-# Lines that wait to be written: a few seconds' worth at the highest load of one
-# entry, and some two megabytes.
-LINES_MAX = 4096
+# Maximum number of queued lines: a few seconds' output at the highest load of one
+# entry, about two megabytes.
+QUEUED_LINES_MAX = 4096
 
 
 def redact(value, field: str = ""):
-    """Return the value without credentials, for a field of that name.
+    """Return the value with credentials replaced; `field` is the name of its field.
 
     >>> redact("Authorization: Bearer abc123")
     'Authorization: Bearer [redacted]'
@@ -43,10 +43,10 @@
 
 
 class JsonLinesHandler(logbook.Handler):
-    """A handler that writes each record as one line of JSON.
+    """A log handler that writes each record as one line of JSON.
 
-    Extra fields are the keyword arguments of the call that logged, so
-    `log.info("started", port=80)` gives a field `port`. Every field passes
+    The keyword arguments of the log call become fields, so
+    `log.info("started", port=80)` adds a field `port`. Every field passes
     through `redact`.
     """
 
@@ -67,42 +67,42 @@
             line.setdefault(name, redact(value, name))
         if record.exc_info:
             line["traceback"] = redact(record.formatted_exception)
-        # One write a line, so that lines of several threads don't mix.
+        # One write per line, so that the output of several threads isn't interleaved.
         self._stream.write(json.dumps(line) + "\n")
         self._stream.flush()
 
 
 class BoundedStream:
-    """A stream that never keeps its writers waiting.
+    """A stream whose writers never block.
 
-    Lines go through a bounded queue to a thread that writes them. When the reader
-    of the daemon's output stalls, the pipe fills and a write blocks: were that on a
-    request's thread, every request would stop with it. Lines that find the queue
-    full are left out, and how many is said once there is room again.
+    Lines go through a bounded queue to a thread that writes them. If the reader of
+    the daemon's output stalls, the pipe fills and writes block: on a request's
+    thread, that would stop all requests. Lines are dropped while the queue is full,
+    and their number is logged once there is space again.
     """
 
-    def __init__(self, stream: TextIO, *, lines_max: int = LINES_MAX):
+    def __init__(self, stream: TextIO, *, lines_max: int = QUEUED_LINES_MAX):
         self._stream = stream
         self._lines: queue.Queue[str] = queue.Queue(lines_max)
         self._lock = threading.Lock()
-        self._left_out = 0
+        self._dropped = 0
         threading.Thread(target=self._run, name="log", daemon=True).start()
 
     def write(self, line: str) -> None:
-        """Queue a line, or leave it out."""
+        """Queue a line, or drop it if the queue is full."""
         try:
             self._lines.put_nowait(line)
         except queue.Full:
             with self._lock:
-                self._left_out += 1
+                self._dropped += 1
 
     def flush(self) -> None:
-        """Lines are flushed as they are written."""
+        """Do nothing: the thread flushes each line that it writes."""
 
     def drain(self, timeout_s: float) -> None:
-        """Wait until what is queued has been written, but no longer."""
-        # `Queue.join` with a time limit. A thread that joins could be refused by the
-        # system, and the process waits for this before it ends.
+        """Wait until all queued lines are written, for at most `timeout_s`."""
+        # `Queue.join` with a timeout. A helper thread that joins isn't an option: the
+        # system may refuse to start it, and the process waits for this before it exits.
         with self._lines.all_tasks_done:
             self._lines.all_tasks_done.wait_for(
                 lambda: not self._lines.unfinished_tasks, timeout_s
@@ -112,17 +112,17 @@
         while True:
             line = self._lines.get()
             try:
-                self._stream.write(self._note() + line)
+                self._stream.write(self._drop_notice() + line)
                 self._stream.flush()
             except (OSError, ValueError):
-                # The reader has gone: there is nobody left to tell.
+                # The reader has closed the stream, so nobody can receive an error.
                 return
             finally:
                 self._lines.task_done()
 
-    def _note(self) -> str:
+    def _drop_notice(self) -> str:
         with self._lock:
-            left_out, self._left_out = self._left_out, 0
-        if not left_out:
+            dropped, self._dropped = self._dropped, 0
+        if not dropped:
             return ""
-        return json.dumps({"message": "lines left out", "count": left_out}) + "\n"
+        return json.dumps({"message": "lines left out", "count": dropped}) + "\n"
--- a/lavenderspoke/observing/metrics.py
+++ b/lavenderspoke/observing/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies, for the metrics page and the status page."""
+"""Counters, gauges and latency histograms for the metrics and status pages."""
 
 import threading
 
@@ -11,13 +11,13 @@
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 US_PER_S = 1_000_000
 OTHER_LABEL = "other"
-"""The label that stands for all beyond the bound on histograms or counters."""
+"""The label for everything beyond the maximum number of histograms or counters."""
 COUNTERS_MAX = 1024
 
 
 @attrs.frozen(kw_only=True)
 class LatencyKey:
-    """Whose latency a histogram holds."""
+    """The labels of a latency histogram."""
 
     name: str
     service: str
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class LatencySummary:
-    """A histogram's quantiles in seconds, by percent, and its sum."""
+    """A histogram's quantiles by percent, count, sum and maximum, in seconds."""
 
     count: int
     sum_s: float
@@ -35,7 +35,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Latency:
+class _LatencyHistogram:
     histogram: HdrHistogram = attrs.field(
         factory=lambda: HdrHistogram(1, LATENCY_MAX_US, LATENCY_DIGITS)
     )
@@ -54,7 +54,7 @@
 
 
 class Metrics:
-    """Metrics of one daemon; every method may be called from any thread.
+    """Metrics of one daemon; all methods are thread-safe.
 
     >>> metrics = Metrics()
     >>> metrics.count("refusals", "shed")
@@ -66,10 +66,10 @@
         self._lock = threading.Lock()
         self._counters: dict[tuple[str, str], int] = {}
         self._gauges: dict[str, float] = {}
-        self._latencies: dict[LatencyKey, _Latency] = {}
+        self._latencies: dict[LatencyKey, _LatencyHistogram] = {}
 
     def count(self, name: str, reason: str, amount: int = 1) -> None:
-        """Add to the counter of that name and reason."""
+        """Add to the counter with that name and reason."""
         with self._lock:
             key = (name, reason)
             if key not in self._counters and len(self._counters) >= COUNTERS_MAX:
@@ -77,23 +77,23 @@
             self._counters[key] = self._counters.get(key, 0) + amount
 
     def counter_value(self, name: str, reason: str) -> int:
-        """Return what has been counted under that name and reason."""
+        """Return the value of the counter with that name and reason."""
         with self._lock:
             return self._counters.get((name, reason), 0)
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Set a value that may also fall, such as the requests in flight."""
+        """Set a gauge, a value that may also fall, such as the requests in flight."""
         with self._lock:
             self._gauges[name] = value
 
     def observe(self, name: str, service: str, tier: str, latency_s: float) -> None:
-        """Record a latency; what exceeds ten minutes counts as ten minutes."""
+        """Record a latency; the histogram counts more than ten minutes as ten."""
         value_us = min(max(round(latency_s * US_PER_S), 1), LATENCY_MAX_US)
         key = LatencyKey(name=name, service=service, tier=tier)
         with self._lock:
             if key not in self._latencies and len(self._latencies) >= HISTOGRAMS_MAX:
                 key = LatencyKey(name=name, service=OTHER_LABEL, tier=OTHER_LABEL)
-            latency = self._latencies.setdefault(key, _Latency())
+            latency = self._latencies.setdefault(key, _LatencyHistogram())
             latency.histogram.record_value(value_us)
             latency.sum_s += latency_s
 
@@ -103,7 +103,7 @@
             return {key: each.summary() for key, each in self._latencies.items()}
 
     def snapshot(self) -> dict:
-        """Return everything as plain JSON data for the status page."""
+        """Return all metrics as plain JSON data for the status page."""
         with self._lock:
             counters: dict[str, dict[str, int]] = {}
             for (name, reason), value in sorted(self._counters.items()):
@@ -122,23 +122,26 @@
         return {"counters": counters, "gauges": gauges, "latencies": latencies}
 
     def render(self) -> str:
-        """Return the Prometheus text exposition of everything."""
+        """Return all metrics in the Prometheus text exposition format."""
         with self._lock:
             counters = sorted(self._counters.items())
             gauges = sorted(self._gauges.items())
         lines = _render_counters(counters)
         for name, value in gauges:
-            lines += [f"# TYPE {_metric(name)} gauge", f"{_metric(name)} {value:g}"]
+            lines += [
+                f"# TYPE {_metric_name(name)} gauge",
+                f"{_metric_name(name)} {value:g}",
+            ]
         lines += _render_latencies(self.latencies())
         return "\n".join(lines) + "\n"
 
 
-def _metric(name: str) -> str:
+def _metric_name(name: str) -> str:
     return "lavenderspoke_" + name
 
 
-def _label(value: str) -> str:
-    """Escape a label's value as the exposition format asks."""
+def _label_value(value: str) -> str:
+    """Quote and escape a label value for the exposition format."""
     escaped = value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
     return f'"{escaped}"'
 
@@ -147,10 +150,10 @@
     lines = []
     last = None
     for (name, reason), value in counters:
-        metric = _metric(name) + "_total"
+        metric = _metric_name(name) + "_total"
         if name != last:
             lines.append(f"# TYPE {metric} counter")
-        lines.append(f"{metric}{{reason={_label(reason)}}} {value}")
+        lines.append(f"{metric}{{reason={_label_value(reason)}}} {value}")
         last = name
     return lines
 
@@ -159,11 +162,11 @@
     lines = []
     last = None
     for key in sorted(latencies, key=attrs.astuple):
-        metric = _metric(key.name.removesuffix("_s")) + "_seconds"
+        metric = _metric_name(key.name.removesuffix("_s")) + "_seconds"
         if key.name != last:
             lines.append(f"# TYPE {metric} summary")
         last = key.name
-        labels = f"service={_label(key.service)},tier={_label(key.tier)}"
+        labels = f"service={_label_value(key.service)},tier={_label_value(key.tier)}"
         for percent, value_s in latencies[key].quantiles_s.items():
             quantile = f'quantile="{percent / 100:g}"'
             lines.append(f"{metric}{{{labels},{quantile}}} {value_s:g}")
--- a/lavenderspoke/observing/rollouts.py
+++ b/lavenderspoke/observing/rollouts.py
@@ -1,18 +1,18 @@
-"""Tells the course of roll-outs from the log lines of several processes."""
+"""Reconstructs the history of roll-outs from the log lines of several processes."""
 
 import attrs
 
 from lavenderspoke.observing.explaining import LogLine, ParsedLogs
 
-ORDERED = "roll-out ordered"
-GOES_ON = "roll-out goes on"
-RECORD_WRITTEN = "roll-out record written"
-MESSAGES = (ORDERED, GOES_ON, RECORD_WRITTEN)
+ORDERED_MESSAGE = "roll-out ordered"
+STAGE_MESSAGE = "roll-out goes on"
+RECORD_MESSAGE = "roll-out record written"
+MESSAGES = (ORDERED_MESSAGE, STAGE_MESSAGE, RECORD_MESSAGE)
 
 
 @attrs.frozen(kw_only=True)
 class RouteAnswers:
-    """What had been seen on a route: answers, and bad ones of them."""
+    """Answers and bad answers on a route, of the target and the other versions."""
 
     route: str
     target: int
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class StageChange:
-    """One change of a roll-out's stage, as the first entry that logged it saw it."""
+    """One change of a roll-out's stage, as logged by one entry."""
 
     at_s: float
     daemon: str
@@ -36,9 +36,9 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutHistory:
-    """One order and the changes that followed, in the order of their times.
+    """One order and the stage changes that followed, in order of time.
 
-    `state` is the last that was written for operators; empty if none was.
+    `state` is the last state in the status record; empty if none was written.
     """
 
     service: str
@@ -48,29 +48,30 @@
     changes: tuple[StageChange, ...]
 
 
-def rollout_histories(lines: ParsedLogs) -> list[RolloutHistory]:
-    """Return the course of each order that the lines tell of."""
+def rollout_histories(logs: ParsedLogs) -> list[RolloutHistory]:
+    """Return the history of each order in the log lines."""
     by_order: dict[tuple[str, int], list[LogLine]] = {}
-    for line in lines.lines:
+    for line in logs.lines:
         if line.message in MESSAGES:
             number = line.fields.get("order", line.fields.get("number"))
             key = (str(line.fields.get("service")), number)
             by_order.setdefault(key, []).append(line)
     return [
-        _course(service, order, told)
-        for (service, order), told in by_order.items()
+        _history(service, order, order_lines)
+        for (service, order), order_lines in by_order.items()
         if isinstance(order, int)
     ]
 
 
-def _course(service: str, order: int, told: list[LogLine]) -> RolloutHistory:
-    states = [each for each in told if each.message == RECORD_WRITTEN]
-    targets = [each.fields["target"] for each in told if "target" in each.fields]
+def _history(service: str, order: int, lines: list[LogLine]) -> RolloutHistory:
+    states = [each for each in lines if each.message == RECORD_MESSAGE]
+    targets = [each.fields["target"] for each in lines if "target" in each.fields]
     changes: dict[str, StageChange] = {}
-    for line in told:
-        if line.message == GOES_ON:
-            # The entry that took the step says why; the others were told.
-            change = _change(line)
+    for line in lines:
+        if line.message == STAGE_MESSAGE:
+            # Prefer the line of the entry that made the transition: it has the counts
+            # and the reason, while the others only received the news.
+            change = _stage_change(line)
             known = changes.get(change.stage)
             if known is None or (known.requests is None and change.requests):
                 changes[change.stage] = change
@@ -83,7 +84,7 @@
     )
 
 
-def _change(line: LogLine) -> StageChange:
+def _stage_change(line: LogLine) -> StageChange:
     evidence = line.fields.get("evidence")
     rows = evidence.items() if isinstance(evidence, dict) else ()
     return StageChange(
