--- a/lavenderspoke/capacity/concurrency.py
+++ b/lavenderspoke/capacity/concurrency.py
@@ -3,7 +3,7 @@
 An engine admits every request and queues internally, where tiers have no
 effect. So the agent limits the requests in flight by the latencies that it
 measures itself: additive increase while the limit is reached and the engine is
-fast, multiplicative decrease when it isn't.
+fast, multiplicative decrease while the engine is slow.
 """
 
 from statistics import median
--- a/lavenderspoke/direct/rollout.py
+++ b/lavenderspoke/direct/rollout.py
@@ -56,7 +56,7 @@
         self.is_completion_due = False
         self._wanted_transition = None
         if stage.is_final:
-            # From now on the news consists of the final stage only.
+            # Peers need only the final stage from now on, so the counts are dropped.
             self._own_tallies.clear()
             self._peer_news.clear()
 
--- a/lavenderspoke/observing/explaining.py
+++ b/lavenderspoke/observing/explaining.py
@@ -19,7 +19,7 @@
 LOOKBACK_S = 10.0
 
 MEANINGS = {
-    "whole": "The caller got the upstream's complete answer.",
+    "whole": "The upstream's complete answer was sent to the caller.",
     "broken": "The answer broke off after it had begun; the caller saw that.",
     Reason.CALLER_GONE.value: "The caller disconnected; the request was cancelled.",
     Reason.NO_ROOM.value: "No upstream had a free slot in time; it has not run.",
--- a/lavenderspoke/observing/metrics.py
+++ b/lavenderspoke/observing/metrics.py
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class LatencySummary:
-    """A histogram's quantiles by percent, count, sum and maximum, in seconds."""
+    """A histogram's count, and its quantiles by percent, sum and maximum in seconds."""
 
     count: int
     sum_s: float
