--- a/features/shedding.feature
+++ b/features/shedding.feature
@@ -1,9 +1,9 @@
-Feature: Shedding is one decision of all entries of a service
+Feature: All entries of a service coordinate load shedding
 
-  Scenario: A higher tier is dropped only when nothing lower is kept anywhere
-    Entry "one" is short of room and would drop a position request while reports
-    still wait in "two". It announces a floor; "two" drops its reports, refuses
-    new ones and answers; only then may "one" drop.
+  Scenario: A higher tier is dropped only when no entry keeps a lower one
+    Entry "one" is full and has to drop a position request while reports still wait
+    in "two". It announces a floor; "two" drops its reports, refuses new ones and
+    acknowledges; only then may "one" drop.
     Given entries one, two and three
     When "one" wants to drop a position request at 0 s
     Then "one" may not drop it at 0 s
@@ -19,9 +19,9 @@
     Given entries one, two and three
     Then "one" may drop a report at 0 s
 
-  Scenario: The floor ends at its holder first
-    The holder stops dropping before any peer keeps lower work again, so there is
-    no moment at which both do.
+  Scenario: A floor expires at its sender first
+    The sender stops dropping before any peer accepts lower tiers again, so the two
+    never overlap.
     Given entries one, two and three
     When "one" wants to drop a position request at 0 s
     And its announcement reaches "two" at 0 s
@@ -31,21 +31,22 @@
     And "two" refuses reports at 1.95 s
     And "two" keeps reports at 2.05 s
 
-  Scenario: A floor is renewed while room is short
+  Scenario: A floor is renewed while the entry is full
     Given entries one, two and three
-    When "one" wants room each 0.1 s for 6 s and every message arrives
-    Then "one" might drop at each moment after the first
+    When "one" requests a floor every 0.1 s for 6 s and every message arrives
+    Then "one" was permitted to drop each time after the first
 
-  Scenario: A peer that dies isn't waited for
+  Scenario: A peer whose heartbeat times out isn't waited for
     Given entries one, two and three
     When "one" wants to drop a position request at 0 s
     And its announcement reaches "two" at 0.1 s
     And "one" loses "three"
     Then "one" may drop it at 0.2 s
 
-  Scenario: A peer that comes back as a new incarnation has to hold the floor again
-    The peer restarts between its answer and the drop. Its new life knows no
-    floor and may keep reports, so the old answer must not count for it.
+  Scenario: A peer that restarts has to acknowledge the floor again
+    The peer restarts between its acknowledgement and the drop. Its new incarnation
+    knows of no floor and may keep reports, so the old acknowledgement must not
+    count for it.
     Given entries one, two and three
     When "one" wants to drop a position request at 0 s
     And its announcement reaches "two" at 0 s
@@ -63,15 +64,15 @@
     And its announcement reaches "three" at 0.2 s
     Then "one" may drop it at 0.3 s
 
-  Scenario: A peer that never answers is given up after a bound
-    The peer's heartbeat arrives and its answers don't. The entry would run out
-    of memory if it waited; after the bound it goes on without that peer.
+  Scenario: A peer that never acknowledges is ignored after a timeout
+    The peer's heartbeats arrive and its acknowledgements don't. The entry would run
+    out of memory if it kept waiting; after the timeout it ignores that peer.
     Given entries one, two and three
-    When "one" wants room each 0.1 s for 4 s and "two" never answers
-    Then "one" might not drop before 3 s
-    And "one" might drop after 3.2 s
+    When "one" requests a floor every 0.1 s for 4 s and "two" never acknowledges
+    Then "one" was not permitted to drop before 3 s
+    And "one" was permitted to drop after 3.2 s
 
-  Scenario: A late announcement of a lower floor doesn't loosen a higher one
+  Scenario: A late announcement of a lower floor doesn't replace a higher one
     Given entries one, two and three
     When "one" wants to drop an alert at 0 s
     And its announcement reaches "two" at 0.1 s
@@ -82,9 +83,9 @@
     Then "two" refuses positions at 0.3 s
 
   Scenario: A floor is raised one tier at a time
-    Entry "one" would drop an alert. Were the floor at alerts asked for at once,
-    "two" would drop its positions while "three", which hasn't heard yet, still
-    keeps reports. So reports go first everywhere, and then positions.
+    Entry "one" has to drop an alert. If it requested the floor at alerts at once,
+    "two" would drop its positions while "three", which hasn't received the floor
+    yet, still keeps reports. So all entries drop reports first, then positions.
     Given entries one, two and three
     When "one" wants to drop an alert at 0 s
     And its announcement reaches "two" at 0.1 s
--- a/features/steps/shedding_steps.py
+++ b/features/steps/shedding_steps.py
@@ -11,47 +11,51 @@
 
 def start(context, name, incarnation="1"):
     context.ids[name] = InstanceId(name=name, incarnation=incarnation)
-    context.keepers[name] = FloorCoordinator(
+    context.coordinators[name] = FloorCoordinator(
         service=make_service(), instance=context.ids[name]
     )
 
 
 @given("entries one, two and three")
 def step_entries(context):
-    context.ids, context.keepers, context.dropped = {}, {}, {}
+    context.ids, context.coordinators, context.dropped = {}, {}, {}
     for name in ("one", "two", "three"):
         start(context, name)
 
 
-def want(context, rank, now_s):
+def request_floor(context, rank, now_s):
     peers = {peer for name, peer in context.ids.items() if name != "one"}
-    actions = context.keepers["one"].request_floor(rank, now_s, peers)
-    note_drops(context, "one", actions)
+    actions = context.coordinators["one"].request_floor(rank, now_s, peers)
+    record_drops(context, "one", actions)
     sends = [action for action in actions if isinstance(action, Send)]
     if sends:
         context.sends = sends
     return sends
 
 
-def note_drops(context, name, actions):
+def record_drops(context, name, actions):
     for action in actions:
         if isinstance(action, DropBelow):
             context.dropped[name] = action.rank
 
 
 def deliver(context, send, now_s):
-    name = send.recipient.name
-    actions = context.keepers[name].on_floor(context.ids["one"], send.message, now_s)
-    note_drops(context, name, actions)
+    recipient = send.recipient.name
+    actions = context.coordinators[recipient].on_floor(
+        context.ids["one"], send.message, now_s
+    )
+    record_drops(context, recipient, actions)
     assert isinstance(actions[0], DropBelow) and isinstance(
         actions[1].message, FloorHeld
     )
-    context.keepers["one"].on_floor_held(context.ids[name], actions[1].message, now_s)
+    context.coordinators["one"].on_floor_held(
+        context.ids[recipient], actions[1].message, now_s
+    )
 
 
 @when('"one" wants to drop {what} at {now:g} s')
 def step_want(context, what, now):
-    want(context, TIERS[what.split()[1]], now)
+    request_floor(context, TIERS[what.split()[1]], now)
 
 
 @when("its announcement is lost")
@@ -69,12 +73,12 @@
 @when('a late position floor of "one" reaches "{name}" at {now:g} s')
 def step_late_floor(context, name, now):
     late = Floor(service="narrative", tier=POSITION, round=0, lease_s=2.0)
-    context.keepers[name].on_floor(context.ids["one"], late, now)
+    context.coordinators[name].on_floor(context.ids["one"], late, now)
 
 
 @when('"one" loses "{name}"')
 def step_loses(context, name):
-    context.keepers["one"].on_peer_lost(name)
+    context.coordinators["one"].on_peer_lost(name)
     del context.ids[name]
 
 
@@ -84,63 +88,70 @@
 
 
 def run(context, *, seconds, silent):
-    context.mays = {}
+    context.permitted = {}
     for tick in range(round(seconds * 10)):
         now_s = tick / 10
-        for send in want(context, POSITION, now_s):
+        for send in request_floor(context, POSITION, now_s):
             if send.recipient.name != silent:
                 deliver(context, send, now_s)
-        context.mays[now_s] = context.keepers["one"].may_drop(POSITION, now_s)
+        context.permitted[now_s] = context.coordinators["one"].may_drop(POSITION, now_s)
 
 
-@when('"one" wants room each 0.1 s for {seconds:g} s and every message arrives')
+@when('"one" requests a floor every 0.1 s for {seconds:g} s and every message arrives')
 def step_run(context, seconds):
     run(context, seconds=seconds, silent=None)
 
 
-@when('"one" wants room each 0.1 s for {seconds:g} s and "{silent}" never answers')
+@when(
+    '"one" requests a floor every 0.1 s for {seconds:g} s'
+    ' and "{silent}" never acknowledges'
+)
 def step_run_silent(context, seconds, silent):
     run(context, seconds=seconds, silent=silent)
 
 
-@then('"one" might drop at each moment after the first')
-def step_might_always(context):
-    assert all(may for now_s, may in context.mays.items() if now_s > 0)
+@then('"one" was permitted to drop each time after the first')
+def step_permitted_always(context):
+    assert all(may_drop for now_s, may_drop in context.permitted.items() if now_s > 0)
 
 
-@then('"one" might not drop before {bound:g} s')
-def step_might_not(context, bound):
-    assert not any(may for now_s, may in context.mays.items() if now_s < bound)
+@then('"one" was not permitted to drop before {bound:g} s')
+def step_not_permitted(context, bound):
+    assert not any(
+        may_drop for now_s, may_drop in context.permitted.items() if now_s < bound
+    )
 
 
-@then('"one" might drop after {bound:g} s')
-def step_might(context, bound):
-    assert all(may for now_s, may in context.mays.items() if now_s > bound)
+@then('"one" was permitted to drop after {bound:g} s')
+def step_permitted(context, bound):
+    assert all(
+        may_drop for now_s, may_drop in context.permitted.items() if now_s > bound
+    )
 
 
 @then('"one" may drop it at {now:g} s')
 def step_may(context, now):
-    assert context.keepers["one"].may_drop(POSITION, now)
+    assert context.coordinators["one"].may_drop(POSITION, now)
 
 
 @then('"one" may not drop it at {now:g} s')
 def step_may_not(context, now):
-    assert not context.keepers["one"].may_drop(POSITION, now)
+    assert not context.coordinators["one"].may_drop(POSITION, now)
 
 
 @then('"one" may drop an alert at {now:g} s')
 def step_may_alert(context, now):
-    assert context.keepers["one"].may_drop(TIERS["alert"], now)
+    assert context.coordinators["one"].may_drop(TIERS["alert"], now)
 
 
 @then('"one" may not drop an alert at {now:g} s')
 def step_may_not_alert(context, now):
-    assert not context.keepers["one"].may_drop(TIERS["alert"], now)
+    assert not context.coordinators["one"].may_drop(TIERS["alert"], now)
 
 
 @then('"one" may drop a report at {now:g} s')
 def step_may_report(context, now):
-    assert context.keepers["one"].may_drop(TIERS["report"], now)
+    assert context.coordinators["one"].may_drop(TIERS["report"], now)
 
 
 @then('"{name}" has dropped its own reports')
@@ -150,11 +161,11 @@
 
 @then('"{name}" refuses {tier}s at {now:g} s')
 def step_refuses(context, name, tier, now):
-    floor = context.keepers[name].floor_rank(now)
+    floor = context.coordinators[name].floor_rank(now)
     assert floor is not None and TIERS[tier] < floor
 
 
 @then('"{name}" keeps {tier}s at {now:g} s')
 def step_keeps(context, name, tier, now):
-    floor = context.keepers[name].floor_rank(now)
+    floor = context.coordinators[name].floor_rank(now)
     assert floor is None or TIERS[tier] >= floor
--- a/features/steps/tiers_steps.py
+++ b/features/steps/tiers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about tiers under load that is too much."""
+"""Steps about tiers under overload."""
 
 import time
 
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class Timed:
-    """One request of a tier, with when it was sent and when it had its end."""
+    """One request of a tier, with when it was sent and when its answer ended."""
 
     tier: str
     sent_s: float
@@ -26,7 +26,7 @@
         return self.sent_s < moment_s < self.ended_s
 
 
-@given("two entries that hold {count:d} requests before one engine with 1 slot")
+@given("two entries that queue {count:d} requests for one engine with 1 slot")
 def step_small_entries(context, count):
     deployment = deploy(context)
     waiting = {"requests_max": count}
@@ -39,7 +39,7 @@
     context.timed = {}
 
 
-@given("one entry with {threads:d} threads before one engine with 1 slot")
+@given("one entry with {threads:d} threads and one engine with 1 slot")
 def step_few_threads(context, threads):
     deployment = deploy(context)
     deployment.publish(document("narrative", "model"))
@@ -69,7 +69,7 @@
     context.sending.begin(label, complete)
 
 
-def held(context, entry: str, state: str, tier: str) -> int:
+def count_of(context, entry: str, state: str, tier: str) -> int:
     return context.deployment.status(entry)[state]["narrative"][tier]
 
 
@@ -78,14 +78,14 @@
     for _ in range(count):
         send(context, tier, entry)
     wait_until(
-        lambda: held(context, entry, "waiting", tier) == count, WAIT_S, "they wait"
+        lambda: count_of(context, entry, "waiting", tier) == count, WAIT_S, "they wait"
     )
 
 
 @when("1 {tier} is sent through {entry} and runs")
 def step_send_and_run(context, tier, entry):
     send(context, tier, entry)
-    wait_until(lambda: held(context, entry, "running", tier), WAIT_S, "it runs")
+    wait_until(lambda: count_of(context, entry, "running", tier), WAIT_S, "it runs")
 
 
 @when("{count:d} {tier}s are sent through {entry}")
@@ -111,7 +111,7 @@
     ]
 
 
-@then("every request has its end")
+@then("every request has been answered or refused")
 def step_all_ended(context):
     results = context.sending.wait()
     assert set(results) == set(context.timed)
@@ -132,7 +132,7 @@
     assert sorted(shed(context, "report")) == sorted(reports)
 
 
-@then("every {tier} was answered whole")
+@then("every {tier} was answered completely")
 def step_tier_whole(context, tier):
     for label, timed in context.timed.items():
         assert timed.tier != tier or answered(context, label), label
@@ -149,10 +149,10 @@
 
 
 def kept_below(context, label: str) -> list[str]:
-    """Return the lower requests that were kept, and served, when one was shed.
+    """Return the lower requests that were kept, and later served, when one was shed.
 
-    A shed one has its end a moment after it was dropped; what ran already in
-    the engine's one slot then was not waiting.
+    One of them may already have been running in the engine's only slot, and a shed
+    request's answer ends a moment after it is dropped.
     """
     dropped = context.timed[label]
     return [
@@ -173,7 +173,7 @@
             assert len(kept) <= 1, f"{label} was shed while {kept} were kept"
 
 
-@then("every shed caller was told when to come back")
+@then("every shed caller got a Retry-After")
 def step_retry_after(context):
     for tier in TIERS:
         for label in shed(context, tier):
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -12,12 +12,15 @@
     context.queue = WaitingQueue(service=make_service())
 
 
-@given("a first-come queue")
+@given("a FIFO queue")
 def step_fifo_queue(context):
     context.queue = WaitingQueue(service=make_service(), policy=FIFO)
 
 
-@given('a queue where customer "{one}" weighs {first:g} and "{two}" weighs {second:g}')
+@given(
+    'a queue where customer "{one}" has weight {first:g}'
+    ' and "{two}" has weight {second:g}'
+)
 def step_weighted_queue(context, one, first, two, second):
     context.queue = WaitingQueue(
         service=make_service(weights={one: first, two: second})
@@ -28,7 +31,9 @@
 def step_requests_wait(context):
     for row in context.table:
         cells = row.as_dict()
-        warm = {cells["warm"]: int(cells["held"])} if cells.get("warm") else {}
+        warm = (
+            {cells["cached at"]: int(cells["cached"])} if cells.get("cached at") else {}
+        )
         request = make_waiting(
             row["name"], tier=row["tier"], tokens=int(row["tokens"]), warm=warm
         )
@@ -43,19 +48,21 @@
         context.last = {**getattr(context, "last", {}), customer: name}
 
 
-@given('{first:d} requests of "{one}" and {second:d} of "{two}" wait')
+@given('{first:d} requests from "{one}" and {second:d} from "{two}" wait')
 def step_many_wait(context, first, one, second, two):
     add_many(context, one, first)
     add_many(context, two, second)
 
 
-@given('customer "{customer}" has {count:d} requests warm at "{upstream}"')
+@given(
+    'customer "{customer}" has {count:d} requests with a prefix cached at "{upstream}"'
+)
 def step_many_warm(context, customer, count, upstream):
     add_many(context, customer, count, warm={upstream: 90})
 
 
-@when('the next request for "{upstream}" is taken and put back {count:d} times')
-def step_put_back_many(context, upstream, count):
+@when('the next request for "{upstream}" is taken and requeued {count:d} times')
+def step_requeue_many(context, upstream, count):
     for _ in range(count):
         context.queue.requeue(context.queue.take(1.0, upstream=upstream), 1.0)
 
@@ -66,12 +73,12 @@
     context.taken = Counter(request.call.customer for request in taken)
 
 
-@then('at least {count:d} of them are of "{customer}"')
+@then('at least {count:d} of them are from "{customer}"')
 def step_taken_least(context, count, customer):
     assert context.taken[customer] >= count, context.taken
 
 
-@when('{count:d} more requests of "{customer}" wait')
+@when('{count:d} more requests from "{customer}" wait')
 def step_more_wait(context, count, customer):
     add_many(context, customer, count)
 
@@ -81,7 +88,7 @@
     step_take_at(context, count, "x")
 
 
-@then('{first:d} of them are of "{one}" and {second:d} of "{two}"')
+@then('{first:d} of them are from "{one}" and {second:d} from "{two}"')
 def step_taken_counts(context, first, one, second, two):
     assert context.taken == {one: first, two: second}, context.taken
 
@@ -97,8 +104,8 @@
     context.queue.add(make_waiting("first"), 0.0)
 
 
-def steady(context, *, interval_s, tokens, warm):
-    """Add one and take one each interval until the first request is taken."""
+def add_and_take(context, *, interval_s, tokens, warm):
+    """Add and take one request per interval until the first request is taken."""
     for number in range(1000):
         now_s = number * interval_s
         request = make_waiting(
@@ -111,15 +118,16 @@
 
 
 @when(
-    "a request of {tokens:d} tokens arrives each {each:g} s and one is taken each 0.1 s"
+    "a request of {tokens:d} tokens arrives every {interval:g} s"
+    " and one is taken every 0.1 s"
 )
-def step_steady_short(context, tokens, each):
-    steady(context, interval_s=each, tokens=tokens, warm={})
+def step_short_arrive(context, tokens, interval):
+    add_and_take(context, interval_s=interval, tokens=tokens, warm={})
 
 
-@when("a warm request arrives each {each:g} s and one is taken each 0.05 s")
-def step_steady_warm(context, each):
-    steady(context, interval_s=each, tokens=100, warm={"a": 90})
+@when("a warm request arrives every {interval:g} s and one is taken every 0.05 s")
+def step_warm_arrive(context, interval):
+    add_and_take(context, interval_s=interval, tokens=100, warm={"a": 90})
 
 
 @then("the long one is taken after {low:g} s and before {high:g} s")
@@ -132,8 +140,8 @@
     assert context.first_taken_s < high, context.first_taken_s
 
 
-@when("{name} is taken and put back")
-def step_put_back(context, name):
+@when("{name} is taken and requeued")
+def step_requeue(context, name):
     request = context.queue.take(0.0, upstream="x")
     assert request.call.request_id == name
     context.queue.requeue(request, 0.5)
@@ -156,17 +164,17 @@
     assert context.queue.bytes == size
 
 
-@then("{tokens:d} tokens are ahead of a position request")
-def step_ahead(context, tokens):
+@then("the backlog at positions and above is {tokens:d} tokens")
+def step_backlog(context, tokens):
     assert context.queue.backlog_tokens(TIERS["position"]) == tokens
 
 
-@when("all below an alert are dropped")
+@when("all requests below alerts are dropped")
 def step_drop_below(context):
     context.queue.drop_below(TIERS["alert"])
 
 
-@then('the victim for an alert is the last of "{customer}"')
+@then('the victim for an alert is the last request from "{customer}"')
 def step_victim(context, customer):
     victim = context.queue.lowest_victim(TIERS["alert"])
     assert victim.call.request_id == context.last[customer]
@@ -183,8 +191,8 @@
     assert len(context.queue.pop_expired(now)) == count
 
 
-def operate(queue, waiting, random, now_s, number):
-    """Do one random operation and return whether it kept the strict order."""
+def run_operation(queue, waiting, random, now_s, number):
+    """Run one random operation; return whether a take was from the highest tier."""
     choice = random.random()
     if choice < 0.5:
         request = make_waiting(
@@ -201,12 +209,12 @@
     elif choice < 0.85:
         taken = queue.take(now_s, upstream=random.choice("abc"))
         if taken is not None:
-            alive = [r.call.tier for r in waiting.values() if r.deadline_s > now_s]
+            unexpired = [r.call.tier for r in waiting.values() if r.deadline_s > now_s]
             del waiting[taken.call.request_id]
             if random.random() < 0.2:
                 queue.requeue(taken, now_s)
                 waiting[taken.call.request_id] = taken
-            return taken.call.tier == max(alive)
+            return taken.call.tier == max(unexpired)
     elif choice < 0.95 and waiting:
         name = random.choice(list(waiting))
         assert queue.remove(name) is waiting.pop(name)
@@ -218,18 +226,18 @@
 
 @when("{count:d} random operations run with seed {seed:d}")
 def step_random_run(context, count, seed):
-    random, waiting, context.agreed = Random(seed), {}, True
+    random, waiting, context.matched = Random(seed), {}, True
     for number in range(count):
         now_s = number * 0.01
-        context.agreed &= operate(context.queue, waiting, random, now_s, number)
+        context.matched &= run_operation(context.queue, waiting, random, now_s, number)
         if number % 500 == 0:
             context.queue.reconfigure(make_service(weights={"one": 2.0}), now_s)
         tiers = Counter(request.call.tier for request in waiting.values())
         cost = sum(cost_tokens(request.call) for request in waiting.values())
-        context.agreed &= context.queue.counts() == dict(tiers)
-        context.agreed &= context.queue.backlog_tokens(0) == cost
+        context.matched &= context.queue.counts() == dict(tiers)
+        context.matched &= context.queue.backlog_tokens(0) == cost
 
 
-@then("no take put a lower tier in front and the books always agreed")
-def step_agreed(context):
-    assert context.agreed
+@then("every take was from the highest tier and the counters always matched")
+def step_matched(context):
+    assert context.matched
--- a/lavenderspoke/dropping.py
+++ b/lavenderspoke/dropping.py
@@ -1,4 +1,4 @@
-"""Drops waiting work of an entry: for want of room, for a floor, for a crash."""
+"""Drops an entry's waiting requests: over capacity, below a floor, quarantined."""
 
 from collections.abc import Callable
 
@@ -13,17 +13,17 @@
 from lavenderspoke.tracked import Tracked, TrackedRequests
 from lavenderspoke.views import PeerViews
 
-# Room is made from this part of what an entry can hold. Each request holds one
-# of the callers' threads; once those are gone the HTTP server can only refuse
-# whoever comes next, a high tier like a low one.
+# Share of `requests_max` above which the lowest tiers are shed. Each request
+# occupies a thread of the callers' HTTP server; with no thread left, the server
+# can only refuse the next caller, whatever its tier.
 SHED_ABOVE_SHARE = 0.8
 
 
 @attrs.define(kw_only=True)
 class RequestDropper:
-    """What an entry drops; every drop is a final answer to its caller.
+    """Drops requests of one entry; a drop is the final answer to the caller.
 
-    `requests_max` is what the entry can hold, waiting or with an agent.
+    `requests_max` limits the entry's requests, waiting or granted to an agent.
     """
 
     requests: TrackedRequests
@@ -31,7 +31,7 @@
     requests_max: int
 
     def shed_excess(self, state: ServiceState, now_s: float) -> list:
-        """Drop the lowest work while too much waits, as the floors allow."""
+        """Shed the lowest-tier requests over the limits, as the floors permit."""
         excess = len(self.requests) - int(self.requests_max * SHED_ABOVE_SHARE)
         is_forced = len(self.requests) >= self.requests_max
         dropped, actions = state.victims(now_s, self.peers.ids(), excess, is_forced)
@@ -41,23 +41,23 @@
         return self.apply(actions) + ended
 
     def is_near_limit(self) -> bool:
-        """Return whether the entry holds nearly as much as it can."""
+        """Return whether the entry is above the share of its limit that it keeps."""
         return len(self.requests) > self.requests_max * SHED_ABOVE_SHARE
 
     def apply(self, actions: list[DropBelow | Send]) -> list:
-        """Carry out what the floors ask for."""
+        """Carry out the actions of a floor: drop requests, and pass on the sends."""
         done = []
         for action in actions:
-            done += [action] if isinstance(action, Send) else self._below(action)
+            done += [action] if isinstance(action, Send) else self._drop_below(action)
         return done
 
-    def _below(self, drop: DropBelow) -> list[Finish]:
+    def _drop_below(self, drop: DropBelow) -> list[Finish]:
         return self._drop(
             drop.service, Reason.SHED, lambda each: each.call.tier < drop.rank
         )
 
     def drop_quarantined(self, service: str, fingerprint: str) -> list[Finish]:
-        """Drop every request with content that is quarantined."""
+        """Drop every request with this fingerprint that no agent has."""
         return self._drop(
             service,
             Reason.QUARANTINED,
@@ -65,23 +65,23 @@
         )
 
     def _drop(
-        self, service: str, reason: Reason, is_meant: Callable[[Tracked], bool]
+        self, service: str, reason: Reason, matches: Callable[[Tracked], bool]
     ) -> list[Finish]:
         return [
             self.finish_with(each.request_id, reason)
             for each in self.requests
-            if each.call.service == service and not each.is_out and is_meant(each)
+            if each.call.service == service and not each.is_out and matches(each)
         ]
 
     def drop_expired(self, state: ServiceState, now_s: float) -> list[Finish]:
-        """Drop what has waited past its deadline."""
+        """Drop the waiting requests whose deadline has passed."""
         return [
             self.finish_with(each.call.request_id, Reason.DEADLINE_EXPIRED)
             for each in state.queue.pop_expired(now_s)
         ]
 
     def finish_with(self, request_id: str, reason: Reason) -> Finish:
-        """Return the final answer of a request, with whether it ran."""
+        """Return a request's final answer, which tells the caller whether it ran."""
         tracked = self.requests.get(request_id)
         ran = ran_when_dropped(tracked)
         problem = Problem(reason=reason, ran=ran)
--- a/lavenderspoke/fairness.py
+++ b/lavenderspoke/fairness.py
@@ -1,15 +1,16 @@
-"""The waiting requests of one tier, and how its customers share it.
-
-Customers share a tier by start-time fair queueing: each has a virtual start
-time that grows by the cost of what it was served over its weight, and the
-customer with the smallest goes next. One that was idle starts at the tier's
-virtual time, so it can't save up turns.
-
-Inside a customer the order is by a time that is fixed on arrival: the arrival
-plus the time that its cost stands for at `AGEING_TOKENS_PER_S`. Shorter ones
-go first, and a long one is overtaken only by what arrives within that time, so
-it can't starve. Since the order never changes, every operation is a search in
-a sorted list.
+"""The waiting requests of one tier, shared fairly between its customers.
+
+Customers share a tier by start-time fair queueing. Each has a virtual start
+time, which advances by the cost of each request served divided by the
+customer's weight; the customer with the smallest is served next. A customer
+that becomes active again starts at the tier's virtual time or later, so being
+idle earns no credit.
+
+A customer's requests are sorted by a time fixed on arrival: the arrival time
+plus the request's cost divided by `AGEING_TOKENS_PER_S`. Shorter requests go
+first, and a long one is overtaken only by requests that arrive within that
+time, so it can't starve. Sort keys never change while a request waits, so
+every operation is a search in a sorted list.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,27 +21,31 @@
 
 from lavenderspoke.documents.service import Prefixes
 
-# A request of this many tokens may be overtaken by those that arrive up to a
-# second after it.
+# A request of this many tokens may be overtaken by requests that arrive up to
+# one second after it.
 AGEING_TOKENS_PER_S = 2000.0
-# No request is overtaken for longer than this part of the time it may wait.
-AGEING_PATIENCE = 0.5
-# For so long, and no longer than the same part of its time, may warm requests
-# of its customer go before the one whose turn it is.
-WARM_PASSES_S = 5.0
-# How many requests one choice looks at, in all and of one customer.
-LOOKED_AT_MAX = 32
-LOOKED_AT_PER_CUSTOMER = 8
-# How far, in tokens over weight, a warm request may go before its customer's
-# turn. It is charged as usual, so the customer's next turn comes later.
-WARM_AHEAD_TOKENS = 20_000
+# Largest share of the time from arrival to deadline in which later requests may
+# overtake a request.
+OVERTAKE_SHARE_MAX = 0.5
+# Longest time, also bounded by OVERTAKE_SHARE_MAX, for which warm requests of a
+# customer may overtake the request at the head of its queue.
+WARM_OVERTAKE_MAX_S = 5.0
+# Requests examined for one choice, in total and per customer.
+SCANNED_MAX = 32
+SCANNED_PER_CUSTOMER_MAX = 8
+# How far, in tokens over weight, a customer's virtual start may be ahead of the
+# smallest one for its warm requests to be served out of turn. They are charged
+# as usual, so the customer's next turn comes later.
+WARM_LEAD_MAX_TOKENS = 20_000
 
 
 @attrs.define(kw_only=True, eq=False)
-class Item:
-    """A waiting request as the order sees it.
+class QueueItem:
+    """The scheduling data of a waiting request.
 
-    `order_s` is the fixed place inside its customer, `number` breaks ties.
+    `sort_time_s` sorts it among its customer's requests, then `tie_breaker`.
+    `cached_tokens` maps an upstream to the prompt tokens it probably has cached;
+    the request is warm at these upstreams and cold at all others.
     """
 
     request_id: str
@@ -49,123 +54,137 @@
     cost_tokens: int
     arrived_s: float
     deadline_s: float
-    order_s: float
-    number: int
-    warm: dict[str, int] = attrs.field(factory=dict)
+    sort_time_s: float
+    tie_breaker: int
+    cached_tokens: dict[str, int] = attrs.field(factory=dict)
 
     @property
-    def patient_until_s(self) -> float:
-        """Until when warm requests may go before it."""
-        patience_s = (self.deadline_s - self.arrived_s) * AGEING_PATIENCE
-        return self.arrived_s + min(WARM_PASSES_S, patience_s)
+    def overtakable_until_s(self) -> float:
+        """The time until which warm requests may overtake it."""
+        overtake_max_s = (self.deadline_s - self.arrived_s) * OVERTAKE_SHARE_MAX
+        return self.arrived_s + min(WARM_OVERTAKE_MAX_S, overtake_max_s)
 
-    def holds_out(self, *, upstream: str, now_s: float, prefixes: Prefixes) -> bool:
-        """Return whether it is still cheaper to wait for a warmer upstream.
+    def waits_for_warmer(
+        self, *, upstream: str, now_s: float, prefixes: Prefixes
+    ) -> bool:
+        """Return whether waiting for an upstream with more cached tokens is cheaper.
 
-        The wait is bounded by the time that the saved prefill would take and
-        by the document's `wait_max_s`.
+        The wait since arrival is bounded by the prefill time that the cached
+        tokens would save and by the document's `wait_max_s`.
         """
-        if not self.warm:
+        if not self.cached_tokens:
             return False
-        saved_tokens = max(self.warm.values()) - self.warm.get(upstream, 0)
+        saved_tokens = max(self.cached_tokens.values()) - self.cached_tokens.get(
+            upstream, 0
+        )
         wait_s = min(prefixes.wait_max_s, saved_tokens / prefixes.prefill_tokens_per_s)
         return now_s < self.arrived_s + wait_s
 
 
-def order_s(*, arrived_s: float, deadline_s: float, cost_tokens: int) -> float:
-    """Return the place of a request inside its customer.
+def compute_sort_time_s(
+    *, arrived_s: float, deadline_s: float, cost_tokens: int
+) -> float:
+    """Return the time by which a request is sorted among its customer's requests.
 
-    >>> order_s(arrived_s=10.0, deadline_s=40.0, cost_tokens=200)
+    >>> compute_sort_time_s(arrived_s=10.0, deadline_s=40.0, cost_tokens=200)
     10.1
-    >>> order_s(arrived_s=10.0, deadline_s=40.0, cost_tokens=2_000_000)
+    >>> compute_sort_time_s(arrived_s=10.0, deadline_s=40.0, cost_tokens=2_000_000)
     25.0
     """
     overtaken_s = cost_tokens / AGEING_TOKENS_PER_S
-    patience_s = max(0.0, deadline_s - arrived_s) * AGEING_PATIENCE
-    return arrived_s + min(overtaken_s, patience_s)
+    overtake_max_s = max(0.0, deadline_s - arrived_s) * OVERTAKE_SHARE_MAX
+    return arrived_s + min(overtaken_s, overtake_max_s)
 
 
-def _place(item: Item) -> tuple[float, int]:
-    return item.order_s, item.number
+def _sort_key(item: QueueItem) -> tuple[float, int]:
+    return item.sort_time_s, item.tie_breaker
 
 
 @attrs.define(kw_only=True, eq=False)
-class Share:
-    """One customer's waiting requests in a tier and its virtual start time."""
+class CustomerQueue:
+    """One customer's waiting requests in a tier, and its virtual start time."""
 
     name: str
     weight: float
-    start: float
+    virtual_start: float
     backlog_tokens: int = 0
-    items: SortedKeyList = attrs.field(factory=lambda: SortedKeyList(key=_place))
+    items: SortedKeyList = attrs.field(factory=lambda: SortedKeyList(key=_sort_key))
 
     @property
-    def turn(self) -> tuple[float, str]:
-        """The key by which the customers take turns."""
-        return self.start, self.name
+    def turn_key(self) -> tuple[float, str]:
+        """Sort key of customers; the smallest is served next."""
+        return self.virtual_start, self.name
 
     @property
-    def load(self) -> tuple[float, str]:
-        """The key by which the most loaded customer is found."""
+    def load_key(self) -> tuple[float, str]:
+        """Sort key of customers; the largest has the most backlog for its weight."""
         return self.backlog_tokens / self.weight, self.name
 
 
 class TierQueue:
     """The waiting requests of one tier.
 
-    `weight_of` returns a customer's weight, which is above zero.
+    `weight_of` returns a customer's weight, which must be positive.
     """
 
     def __init__(self, *, weight_of: Callable[[str], float]):
         self._weight_of = weight_of
-        self._shares: dict[str, Share] = {}
-        self._finishes: dict[str, float] = {}
-        self._turns: SortedList = SortedList()
-        self._loads: SortedList = SortedList()
-        self._warm: dict[str, SortedKeyList] = {}
-        self._virtual = 0.0
+        self._customer_queues: dict[str, CustomerQueue] = {}
+        self._idle_virtual_starts: dict[str, float] = {}
+        self._turn_keys: SortedList = SortedList()
+        self._load_keys: SortedList = SortedList()
+        self._warm_items: dict[str, SortedKeyList] = {}
+        self._virtual_time = 0.0
         self._count = 0
         self.cost_tokens = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def add(self, item: Item) -> None:
-        """Take a request in at its place."""
-        share = self._shares.get(item.customer) or self._activate(item.customer)
-        self._loads.remove(share.load)
-        share.items.add(item)
-        share.backlog_tokens += item.cost_tokens
-        self._loads.add(share.load)
-        for upstream in item.warm:
-            self._warm.setdefault(upstream, SortedKeyList(key=_place)).add(item)
+    def add(self, item: QueueItem) -> None:
+        """Add a request at its sorted position."""
+        queue = self._customer_queues.get(item.customer) or self._activate(
+            item.customer
+        )
+        self._load_keys.remove(queue.load_key)
+        queue.items.add(item)
+        queue.backlog_tokens += item.cost_tokens
+        self._load_keys.add(queue.load_key)
+        for upstream in item.cached_tokens:
+            self._warm_items.setdefault(upstream, SortedKeyList(key=_sort_key)).add(
+                item
+            )
         self._count += 1
         self.cost_tokens += item.cost_tokens
 
-    def discard(self, item: Item) -> None:
-        """Take a request out without charging its customer."""
-        share = self._shares[item.customer]
-        self._loads.remove(share.load)
-        share.items.remove(item)
-        share.backlog_tokens -= item.cost_tokens
-        self._loads.add(share.load)
-        for upstream in item.warm:
-            self._warm[upstream].remove(item)
-            if not self._warm[upstream]:
-                del self._warm[upstream]
+    def discard(self, item: QueueItem) -> None:
+        """Remove a request without charging its customer."""
+        queue = self._customer_queues[item.customer]
+        self._load_keys.remove(queue.load_key)
+        queue.items.remove(item)
+        queue.backlog_tokens -= item.cost_tokens
+        self._load_keys.add(queue.load_key)
+        for upstream in item.cached_tokens:
+            self._warm_items[upstream].remove(item)
+            if not self._warm_items[upstream]:
+                del self._warm_items[upstream]
         self._count -= 1
         self.cost_tokens -= item.cost_tokens
-        if not share.items:
-            self._deactivate(share)
-
-    def charge(self, item: Item) -> None:
-        """Charge a customer for a request that is about to be discarded."""
-        self._virtual = max(self._virtual, self._turns[0][0])
-        self._move(self._shares[item.customer], item.cost_tokens)
-
-    def refund(self, item: Item) -> None:
-        """Give back the charge of a request that is in again."""
-        self._move(self._shares[item.customer], -item.cost_tokens)
+        if not queue.items:
+            self._deactivate(queue)
+
+    def charge(self, item: QueueItem) -> None:
+        """Charge a customer for a request; call it before `discard`."""
+        self._virtual_time = max(self._virtual_time, self._turn_keys[0][0])
+        self._advance_virtual_start(
+            self._customer_queues[item.customer], item.cost_tokens
+        )
+
+    def refund(self, item: QueueItem) -> None:
+        """Undo the charge for a request that has been added again."""
+        self._advance_virtual_start(
+            self._customer_queues[item.customer], -item.cost_tokens
+        )
 
     def choose(
         self,
@@ -173,74 +192,80 @@
         upstream: str,
         now_s: float,
         prefixes: Prefixes | None = None,
-    ) -> Item | None:
-        """Return the request to go next to an upstream, or None.
+    ) -> QueueItem | None:
+        """Return the next request for an upstream, without removing it, or None.
 
-        Without `prefixes` nothing is believed warm. A request that holds out
-        for a warmer upstream lets others of its tier go first; when every one
-        looked at holds out, the first goes cold, since the only alternatives
-        are an idle upstream and a lower tier in front of it.
+        Without `prefixes` cached prefixes are ignored. A request that waits for
+        a warmer upstream is passed over for others of its tier. When all the
+        examined requests wait for one, the first is returned and runs cold: the
+        alternatives are to leave the upstream idle or to serve a lower tier first.
         """
         if prefixes is not None:
             warm = self._choose_warm(upstream=upstream, now_s=now_s, prefixes=prefixes)
             if warm is not None:
                 return warm
-        first = None
-        for item in islice(self._in_turn(now_s), LOOKED_AT_MAX):
-            if prefixes is None or not item.holds_out(
+        fallback = None
+        for item in islice(self._candidates_in_turn(now_s), SCANNED_MAX):
+            if prefixes is None or not item.waits_for_warmer(
                 upstream=upstream, now_s=now_s, prefixes=prefixes
             ):
                 return item
-            first = first or item
-        return first
+            fallback = fallback or item
+        return fallback
 
-    def victim(self) -> Item | None:
-        """Return the last request of the customer with most cost for its weight."""
-        if not self._loads:
+    def victim(self) -> QueueItem | None:
+        """Return the last request of the customer with the most backlog per weight."""
+        if not self._load_keys:
             return None
-        return self._shares[self._loads[-1][1]].items[-1]
+        return self._customer_queues[self._load_keys[-1][1]].items[-1]
 
     def _choose_warm(
         self, *, upstream: str, now_s: float, prefixes: Prefixes
-    ) -> Item | None:
-        for item in islice(self._warm.get(upstream, ()), LOOKED_AT_MAX):
-            share = self._shares[item.customer]
+    ) -> QueueItem | None:
+        for item in islice(self._warm_items.get(upstream, ()), SCANNED_MAX):
+            queue = self._customer_queues[item.customer]
             if item.deadline_s <= now_s:
                 continue
-            if share.start - self._turns[0][0] > WARM_AHEAD_TOKENS:
+            if queue.virtual_start - self._turn_keys[0][0] > WARM_LEAD_MAX_TOKENS:
                 continue
-            # Without this bound a stream of warm requests would starve the
-            # cold one at the head of their customer.
-            head = share.items[0]
-            if item is not head and head.patient_until_s <= now_s:
+            # Without this bound a stream of warm requests would starve a cold
+            # one at the head of the same customer's queue.
+            head = queue.items[0]
+            if item is not head and head.overtakable_until_s <= now_s:
                 continue
-            if not item.holds_out(upstream=upstream, now_s=now_s, prefixes=prefixes):
+            if not item.waits_for_warmer(
+                upstream=upstream, now_s=now_s, prefixes=prefixes
+            ):
                 return item
         return None
 
-    def _in_turn(self, now_s: float) -> Iterator[Item]:
-        for _, name in self._turns:
-            alive = (
-                item for item in self._shares[name].items if item.deadline_s > now_s
+    def _candidates_in_turn(self, now_s: float) -> Iterator[QueueItem]:
+        for _, name in self._turn_keys:
+            unexpired = (
+                item
+                for item in self._customer_queues[name].items
+                if item.deadline_s > now_s
             )
-            yield from islice(alive, LOOKED_AT_PER_CUSTOMER)
-
-    def _activate(self, name: str) -> Share:
-        start = max(self._virtual, self._finishes.pop(name, 0.0))
-        share = Share(name=name, weight=self._weight_of(name), start=start)
-        self._shares[name] = share
-        self._turns.add(share.turn)
-        self._loads.add(share.load)
-        return share
-
-    def _deactivate(self, share: Share) -> None:
-        self._turns.remove(share.turn)
-        self._loads.remove(share.load)
-        del self._shares[share.name]
-        if share.start > self._virtual:
-            self._finishes[share.name] = share.start
-
-    def _move(self, share: Share, tokens: int) -> None:
-        self._turns.remove(share.turn)
-        share.start += tokens / share.weight
-        self._turns.add(share.turn)
+            yield from islice(unexpired, SCANNED_PER_CUSTOMER_MAX)
+
+    def _activate(self, name: str) -> CustomerQueue:
+        start = max(self._virtual_time, self._idle_virtual_starts.pop(name, 0.0))
+        queue = CustomerQueue(
+            name=name, weight=self._weight_of(name), virtual_start=start
+        )
+        self._customer_queues[name] = queue
+        self._turn_keys.add(queue.turn_key)
+        self._load_keys.add(queue.load_key)
+        return queue
+
+    def _deactivate(self, queue: CustomerQueue) -> None:
+        self._turn_keys.remove(queue.turn_key)
+        self._load_keys.remove(queue.load_key)
+        del self._customer_queues[queue.name]
+        if queue.virtual_start > self._virtual_time:
+            self._idle_virtual_starts[queue.name] = queue.virtual_start
+
+    def _advance_virtual_start(self, queue: CustomerQueue, tokens: int) -> None:
+        self._turn_keys.remove(queue.turn_key)
+        queue.virtual_start += tokens / queue.weight
+        self._turn_keys.add(queue.turn_key)
--- a/lavenderspoke/shedding.py
+++ b/lavenderspoke/shedding.py
@@ -1,24 +1,24 @@
-"""Shedding for want of room as a decision of all entries of a service.
-
-Before an entry drops waiting work of a tier, lower tiers must be gone wherever
-they wait. The entry announces a floor at that tier; each peer drops what it
-has below, keeps it out, and says so. Only when every peer holds the floor, or
-is known to be gone, may the entry drop. Refusing an arrival for want of room is
-a drop like any other. A floor is raised one tier at a time, since peers hear of
-it one after the other.
-
-The floor is a lease. The holder measures it from before it announced, the
-peers from when they heard, so it ends at the holder first: while the holder
-still drops, every peer still refuses what is lower. `HOLDER_LEASE_SHARE` leaves
-room for clocks that run at unlike speeds.
-
-What is not guaranteed. A peer counts as gone when its heartbeat lapses or when
-it hasn't answered for `ANSWER_WAIT_S`. If it lives on the other side of a
-partition it may keep lower tiers meanwhile, until it is short of room itself:
-for that time the order holds on each side of the partition and not across it.
-Waiting instead would let a partition fill the memory of the entry, and would
-lose every tier. The same holds for up to one announcement interval for an entry
-that has just started and of which the holder hasn't heard yet.
+"""Load shedding that all entries of a service coordinate.
+
+An entry at capacity may drop a waiting request of a tier only when no entry
+keeps a request of a lower tier. It sends its peers a floor at that tier's rank;
+each peer drops its waiting requests below the floor, refuses new ones, and
+acknowledges. The entry may drop once every peer has acknowledged or counts as
+gone. Refusing an arrival because the entry is full counts as a drop. A floor is
+raised one tier at a time, since peers receive it at different times.
+
+A floor is a lease. The sender measures it from before sending and the peers
+from receipt, so it expires at the sender first: while the sender may drop, every
+peer still refuses lower tiers. `SENDER_LEASE_SHARE` leaves a margin for clock
+drift.
+
+Not guaranteed: a peer counts as gone when its heartbeat times out or when it
+hasn't acknowledged for `ANSWER_TIMEOUT_S`. If it is alive across a network
+partition, it may keep lower tiers until it is at capacity itself, so during a
+partition the order of tiers holds on each side but not across. Waiting for it
+instead would let the partition fill the entry's memory and lose every tier. An
+entry that has just started may likewise keep lower tiers for up to one
+announcement interval, until the sender has heard of it.
 """
 
 import itertools
@@ -31,115 +31,116 @@
 from lavenderspoke.model import InstanceId
 
 FLOOR_LEASE_S = 2.0
-# The part of the lease that the holder uses; it renews after RENEW_PART.
-HOLDER_LEASE_SHARE = 0.9
-RENEW_PART = 0.5
-# A peer that hasn't answered is asked again, and at last counts as gone.
+# Shares of the lease: for how long the sender of a floor may drop, and after how
+# long it renews the floor.
+SENDER_LEASE_SHARE = 0.9
+RENEW_LEASE_SHARE = 0.5
+# When an unacknowledged floor is sent again, and when the peer counts as gone.
 RESEND_S = 0.1
-ANSWER_WAIT_S = 3.0
+ANSWER_TIMEOUT_S = 3.0
 
 
 @attrs.frozen(kw_only=True)
 class DropBelow:
-    """Drop every waiting request of a lower tier, before the next action."""
+    """Action: drop every waiting request below a rank, before the next action."""
 
     service: str
     rank: int
 
 
 @attrs.define(kw_only=True)
-class _Round:
-    """One announcement of a floor: who has to hold it and who does."""
+class _FloorRound:
+    """One announcement of a floor, and the peers that haven't acknowledged it."""
 
     tier: int
     number: int
-    began_s: float
+    started_s: float
     sent_s: float
-    until_s: float
-    missing: set[InstanceId]
-    members: set[InstanceId]
+    valid_until_s: float
+    unanswered: set[InstanceId]
+    recipients: set[InstanceId]
 
-    def covers(self, *, rank: int, now_s: float, peers: set[InstanceId]) -> bool:
-        """Return whether work of a rank may be dropped under this round."""
+    def permits(self, *, rank: int, now_s: float, peers: set[InstanceId]) -> bool:
+        """Return whether requests of a rank may be dropped under this round."""
         return (
-            not self.missing
+            not self.unanswered
             and self.tier >= rank
-            and now_s < self.until_s
-            and peers <= self.members
+            and now_s < self.valid_until_s
+            and peers <= self.recipients
         )
 
 
 class FloorCoordinator:
-    """One entry's part in the floors of one service.
+    """One entry's state of the floors of one service, its own and its peers'.
 
-    `instance` is this entry. The methods return actions: `Send`, and
-    `DropBelow`, to be carried out in order.
+    `instance` is this entry. Methods that return actions (`Send` and
+    `DropBelow`) expect them to be executed in order.
     """
 
     def __init__(self, *, service: Service, instance: InstanceId):
         self._service = service
         self._instance = instance
-        self._number = 0
-        self._held: _Round | None = None
-        self._asked: _Round | None = None
+        self._last_round = 0
+        self._completed_round: _FloorRound | None = None
+        self._pending_round: _FloorRound | None = None
         self._peers: set[InstanceId] = set()
-        # When each peer that owes an answer was first asked without one.
-        self._owing_since_s: dict[InstanceId, float] = {}
-        # Held for peers, by name and tier: a late or doubled announcement of a
-        # lower tier can't loosen a higher floor that is still in force.
-        self._floors: dict[tuple[str, int], float] = {}
+        # When each peer was first sent a floor since its last acknowledgement.
+        self._unanswered_since_s: dict[InstanceId, float] = {}
+        # Peers' floors by sender and rank, with their expiry. Keyed by rank, so
+        # that a late or duplicate lower floor can't replace a higher one in force.
+        self._peer_floors: dict[tuple[str, int], float] = {}
 
     def reconfigure(self, service: Service) -> None:
-        """Put another document in force."""
+        """Apply a new service document."""
         self._service = service
 
     def request_floor(
         self, rank: int, now_s: float, peers: frozenset[InstanceId] | set[InstanceId]
     ) -> list[DropBelow | Send]:
-        """Ask for the right to drop work of a rank, and keep it while asked.
+        """Request the right to drop requests of a rank, or renew it.
 
-        `peers` are the entries with a live heartbeat, without this one. Call it
-        on each tick for as long as room is short; `may_drop` then says when.
+        `peers` are the other entries with a live heartbeat. Call it on each tick
+        while the entry is over its limits, and drop once `may_drop` returns True.
         """
         self._peers = set(peers)
         if rank <= self._lowest_rank():
             return []
-        if self._fresh(self._held, rank, now_s):
+        if self._is_current(self._completed_round, rank, now_s):
             return []
-        floor = self._next_floor(rank, now_s)
-        if not self._fresh(self._asked, floor, now_s):
+        floor = self._next_floor_rank(rank, now_s)
+        if not self._is_current(self._pending_round, floor, now_s):
             return self._announce(floor, now_s)
-        return self._remind(now_s)
-
-    def _next_floor(self, rank: int, now_s: float) -> int:
-        """Return the floor to ask for on the way to one at `rank`."""
-        # A floor reaches the entries at unlike moments. One that is above two
-        # tiers at once has the upper one dropped here while the lower still waits
-        # at an entry that hasn't heard. So each floor is asked for when the one
-        # below it is held everywhere: it then has a single tier dropped.
+        return self._resend(now_s)
+
+    def _next_floor_rank(self, rank: int, now_s: float) -> int:
+        """Return the floor to request next on the way up to one at `rank`."""
+        # Entries receive a floor at different times. One that is above two tiers
+        # at once would drop the upper tier at one entry while another, which
+        # hasn't received it yet, still keeps the lower. So a floor is requested
+        # only when every peer holds the one below; it then drops a single tier.
         lower = [tier.rank for tier in self._service.tiers if tier.rank < rank]
-        ladder = [*sorted(lower), rank]
+        ranks = [*sorted(lower), rank]
         return next(
             floor
-            for below, floor in reversed(list(itertools.pairwise(ladder)))
-            if below == ladder[0]
-            or self._fresh(self._held, below, now_s)
-            or self._holds(floor, now_s)
+            for below, floor in reversed(list(itertools.pairwise(ranks)))
+            if below == ranks[0]
+            or self._is_current(self._completed_round, below, now_s)
+            or self._is_held(floor, now_s)
         )
 
-    def _holds(self, rank: int, now_s: float) -> bool:
-        held = self._held
-        return held is not None and held.covers(
+    def _is_held(self, rank: int, now_s: float) -> bool:
+        held = self._completed_round
+        return held is not None and held.permits(
             rank=rank, now_s=now_s, peers=self._peers
         )
 
     def on_floor(
         self, sender: InstanceId, message: Floor, now_s: float
     ) -> list[DropBelow | Send]:
-        """Hold a peer's floor, drop what is below it, and say so."""
+        """Enforce a peer's floor, drop the requests below it, and acknowledge."""
         floor = (sender.name, message.tier)
         until_s = now_s + message.lease_s
-        self._floors[floor] = max(until_s, self._floors.get(floor, until_s))
+        self._peer_floors[floor] = max(until_s, self._peer_floors.get(floor, until_s))
         held = FloorHeld(
             service=message.service, tier=message.tier, round=message.round
         )
@@ -151,103 +152,126 @@
     def on_floor_held(
         self, sender: InstanceId, message: FloorHeld, now_s: float
     ) -> None:
-        """Note that a peer holds this entry's floor."""
-        self._owing_since_s.pop(sender, None)
-        if self._asked is not None and self._asked.number == message.round:
-            self._asked.missing.discard(sender)
-            self._settle()
+        """Record a peer's acknowledgement of this entry's floor."""
+        self._unanswered_since_s.pop(sender, None)
+        if (
+            self._pending_round is not None
+            and self._pending_round.number == message.round
+        ):
+            self._pending_round.unanswered.discard(sender)
+            self._complete_if_answered()
 
     def on_peer_lost(self, name: str) -> None:
-        """Note that a peer's heartbeat lapsed: nothing waits in it any more."""
+        """Stop waiting for a peer whose heartbeat timed out."""
         self._peers = {peer for peer in self._peers if peer.name != name}
-        if self._asked is not None:
-            lost = {peer for peer in self._asked.missing if peer.name == name}
-            self._asked.missing -= lost
-            self._settle()
-        self._owing_since_s = {
+        if self._pending_round is not None:
+            lost = {
+                peer for peer in self._pending_round.unanswered if peer.name == name
+            }
+            self._pending_round.unanswered -= lost
+            self._complete_if_answered()
+        self._unanswered_since_s = {
             peer: since_s
-            for peer, since_s in self._owing_since_s.items()
+            for peer, since_s in self._unanswered_since_s.items()
             if peer.name != name
         }
 
     def floor_rank(self, now_s: float) -> int | None:
         """Return the rank below which arrivals are refused, or None.
 
-        It holds too for a request that comes back from a refused or revoked
-        grant: put back below the floor, it would be kept while more is dropped.
+        It also applies to requests whose grant was refused or revoked: requeued
+        below the floor, they would be kept while higher tiers are dropped.
         """
-        self._floors = {
-            floor: until_s for floor, until_s in self._floors.items() if now_s < until_s
+        self._peer_floors = {
+            floor: until_s
+            for floor, until_s in self._peer_floors.items()
+            if now_s < until_s
         }
-        ranks = [tier for _, tier in self._floors]
-        own = [each for each in (self._held, self._asked) if each is not None]
-        ranks += [each.tier for each in own if now_s < each.until_s]
+        ranks = [tier for _, tier in self._peer_floors]
+        own = [
+            each
+            for each in (self._completed_round, self._pending_round)
+            if each is not None
+        ]
+        ranks += [each.tier for each in own if now_s < each.valid_until_s]
         return max(ranks, default=None)
 
     def may_drop(self, rank: int, now_s: float) -> bool:
-        """Return whether no entry keeps work below a rank.
+        """Return whether the floors permit dropping requests of a rank.
 
-        This entry's own lower tiers must have been dropped by the caller.
+        The caller must have dropped this entry's own lower tiers.
         """
         if rank <= self._lowest_rank():
             return True
-        self._give_up(now_s)
-        rounds = [each for each in (self._held, self._asked) if each is not None]
+        self._skip_unresponsive(now_s)
+        rounds = [
+            each
+            for each in (self._completed_round, self._pending_round)
+            if each is not None
+        ]
         return any(
-            each.covers(rank=rank, now_s=now_s, peers=self._peers) for each in rounds
+            each.permits(rank=rank, now_s=now_s, peers=self._peers) for each in rounds
         )
 
     def _lowest_rank(self) -> int:
         return min(tier.rank for tier in self._service.tiers)
 
-    def _fresh(self, asked: _Round | None, rank: int, now_s: float) -> bool:
-        if asked is None or asked.tier < rank or not self._peers <= asked.members:
+    def _is_current(
+        self, candidate: _FloorRound | None, rank: int, now_s: float
+    ) -> bool:
+        if (
+            candidate is None
+            or candidate.tier < rank
+            or not self._peers <= candidate.recipients
+        ):
             return False
-        renew_s = asked.began_s + FLOOR_LEASE_S * RENEW_PART
-        return now_s < (asked.until_s if asked.missing else renew_s)
+        renew_s = candidate.started_s + FLOOR_LEASE_S * RENEW_LEASE_SHARE
+        return now_s < (candidate.valid_until_s if candidate.unanswered else renew_s)
 
     def _announce(self, rank: int, now_s: float) -> list[DropBelow | Send]:
-        self._number += 1
-        self._asked = _Round(
+        self._last_round += 1
+        self._pending_round = _FloorRound(
             tier=rank,
-            number=self._number,
-            began_s=now_s,
+            number=self._last_round,
+            started_s=now_s,
             sent_s=now_s,
-            until_s=now_s + FLOOR_LEASE_S * HOLDER_LEASE_SHARE,
-            missing=set(self._peers),
-            members=set(self._peers),
+            valid_until_s=now_s + FLOOR_LEASE_S * SENDER_LEASE_SHARE,
+            unanswered=set(self._peers),
+            recipients=set(self._peers),
         )
-        self._owing_since_s = {
-            peer: self._owing_since_s.get(peer, now_s) for peer in self._peers
+        self._unanswered_since_s = {
+            peer: self._unanswered_since_s.get(peer, now_s) for peer in self._peers
         }
-        self._give_up(now_s)
-        self._settle()
+        self._skip_unresponsive(now_s)
+        self._complete_if_answered()
         drop = DropBelow(service=self._service.name, rank=rank)
-        return [drop, *self._sends(self._number, rank, self._peers)]
+        return [drop, *self._floor_messages(self._last_round, rank, self._peers)]
 
-    def _remind(self, now_s: float) -> list[DropBelow | Send]:
-        asked = self._asked
-        self._give_up(now_s)
-        if not asked.missing or now_s < asked.sent_s + RESEND_S:
+    def _resend(self, now_s: float) -> list[DropBelow | Send]:
+        pending = self._pending_round
+        self._skip_unresponsive(now_s)
+        if not pending.unanswered or now_s < pending.sent_s + RESEND_S:
             return []
-        asked.sent_s = now_s
-        return self._sends(asked.number, asked.tier, asked.missing)
+        pending.sent_s = now_s
+        return self._floor_messages(pending.number, pending.tier, pending.unanswered)
 
-    def _give_up(self, now_s: float) -> None:
-        if self._asked is None:
+    def _skip_unresponsive(self, now_s: float) -> None:
+        if self._pending_round is None:
             return
-        self._asked.missing = {
+        self._pending_round.unanswered = {
             peer
-            for peer in self._asked.missing
-            if now_s < self._owing_since_s.get(peer, now_s) + ANSWER_WAIT_S
+            for peer in self._pending_round.unanswered
+            if now_s < self._unanswered_since_s.get(peer, now_s) + ANSWER_TIMEOUT_S
         }
-        self._settle()
+        self._complete_if_answered()
 
-    def _settle(self) -> None:
-        if self._asked is not None and not self._asked.missing:
-            self._held, self._asked = self._asked, None
+    def _complete_if_answered(self) -> None:
+        if self._pending_round is not None and not self._pending_round.unanswered:
+            self._completed_round, self._pending_round = self._pending_round, None
 
-    def _sends(self, number: int, rank: int, peers: set[InstanceId]) -> list[Send]:
+    def _floor_messages(
+        self, number: int, rank: int, peers: set[InstanceId]
+    ) -> list[Send]:
         message = Floor(
             service=self._service.name, tier=rank, round=number, lease_s=FLOOR_LEASE_S
         )
--- a/lavenderspoke/waiting.py
+++ b/lavenderspoke/waiting.py
@@ -1,9 +1,9 @@
-"""Requests that wait in an entry, and which of them goes next.
+"""The queue of requests that wait in an entry for one service.
 
-Tiers are served in strict order. Customers share a tier by weight, and inside
-a customer shorter requests go first with ageing (`lavenderspoke.fairness`).
-Prefix affinity and size never reorder tiers: a choice looks only at the
-highest tier that has a request which can still be answered in time.
+Tiers are served in strict priority order. Customers share a tier by weight, and
+a customer's shorter requests go first, with ageing (`lavenderspoke.fairness`).
+Prefix affinity and size never reorder tiers: a request is chosen from the
+highest tier that has one whose deadline hasn't passed.
 """
 
 from collections import Counter
@@ -12,22 +12,23 @@
 from sortedcontainers import SortedList
 
 from lavenderspoke.documents.service import Service
-from lavenderspoke.fairness import Item, TierQueue, order_s
+from lavenderspoke.fairness import QueueItem, TierQueue, compute_sort_time_s
 from lavenderspoke.model import Call
 
-ANYONE = ""
-ANY_TIER = 0
-# Breaks ties in favour of a request that was taken before.
-PUT_BACK = 0
+SHARED_CUSTOMER = ""
+SHARED_TIER_RANK = 0
+# Smaller than any other tie-breaker, so that a requeued request wins ties.
+REQUEUED_TIE_BREAKER = 0
 
 
 @attrs.define(kw_only=True)
 class WaitingRequest:
-    """A request that waits in this entry, its only copy.
+    """A request that waits in this entry and in no other queue.
 
-    Times are on the entry's monotonic clock. `stamp` is the roster offset
-    folded when it arrived. `cached_tokens` maps upstream name to the prompt tokens
-    whose prefix it is believed to hold; it is a hint, read when the request is added.
+    Times are on the entry's monotonic clock. `stamp` is the roster offset up to
+    which the entry had read when the request arrived. `cached_tokens` maps an
+    upstream's name to the prompt tokens it probably has cached; it is a hint,
+    read only when the request is added.
     """
 
     call: Call
@@ -39,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class QueuePolicy:
-    """Which rules order a queue; measurements turn them off one at a time."""
+    """The rules that order a queue; benchmarks turn them off one at a time."""
 
     tiers: bool = True
     fair: bool = True
@@ -53,7 +54,7 @@
 
 
 def cost_tokens(call: Call) -> int:
-    """Return what a request counts for: its prompt and its longest answer.
+    """Return a request's cost: its prompt plus its longest possible answer.
 
     >>> cost_tokens(Call(request_id="r", service="s", method="POST", path="/",
     ...     customer="c", tier=1, prompt_tokens=30, max_output_tokens=12))
@@ -65,16 +66,16 @@
 class WaitingQueue:
     """The requests of one service that wait in one entry.
 
-    Operations cost a search in sorted lists, except `drop_below` and
-    `reconfigure`, which touch each request that they move.
+    Operations search sorted lists, except `drop_below` and `reconfigure`, whose
+    cost grows with the number of waiting requests.
     """
 
     def __init__(self, *, service: Service, policy: QueuePolicy = DEFAULT_QUEUE_POLICY):
         self._service = service
         self._policy = policy
-        self._number = 0
+        self._last_tie_breaker = 0
         self._requests: dict[str, WaitingRequest] = {}
-        self._items: dict[str, Item] = {}
+        self._items: dict[str, QueueItem] = {}
         self._clear()
 
     def __len__(self) -> int:
@@ -82,36 +83,36 @@
 
     @property
     def bytes(self) -> int:
-        """The bytes of all waiting bodies."""
+        """The total size of the waiting requests' bodies, in bytes."""
         return self._bytes
 
     def add(self, request: WaitingRequest, now_s: float) -> None:
-        """Take a request in."""
+        """Add a request."""
         self._insert(request)
 
     def requeue(self, request: WaitingRequest, now_s: float) -> None:
-        """Take a request in again whose grant was refused or revoked.
+        """Add a request again whose grant was refused or revoked.
 
-        Its place comes from its arrival, and its customer's charge is given
-        back, so it stands where it stood.
+        Its sort time still comes from its arrival and its customer's charge is
+        refunded, so it regains its position.
         """
-        item = self._insert(request, number=PUT_BACK)
-        self._tier_of(item).refund(item)
+        item = self._insert(request, tie_breaker=REQUEUED_TIE_BREAKER)
+        self._tier_queue(item).refund(item)
 
     def get(self, request_id: str) -> WaitingRequest | None:
-        """Return a waiting request without taking it."""
+        """Return a waiting request without removing it."""
         return self._requests.get(request_id)
 
     def remove(self, request_id: str) -> WaitingRequest | None:
-        """Take a request out that won't go to an upstream."""
+        """Remove a request without charging its customer; return it, or None."""
         if request_id not in self._requests:
             return None
         return self._extract(self._items[request_id])
 
     def take(self, now_s: float, *, upstream: str) -> WaitingRequest | None:
-        """Take out the request that goes next to an upstream.
+        """Remove and return the next request for an upstream, or None.
 
-        Those past their deadline stay for `pop_expired`.
+        Requests past their deadline are left for `pop_expired`.
         """
         prefixes = self._service.prefixes if self._policy.affinity else None
         for rank in sorted(self._tiers, reverse=True):
@@ -123,37 +124,37 @@
         return None
 
     def counts(self) -> dict[int, int]:
-        """Return the number waiting by tier rank."""
+        """Return the number of waiting requests by tier rank."""
         return {rank: count for rank, count in self._counts.items() if count}
 
     def customer_count(self, customer: str) -> int:
-        """Return how many requests of a customer wait."""
+        """Return the number of a customer's waiting requests."""
         return self._customers[customer]
 
     def lowest_tier(self) -> int | None:
-        """Return the lowest rank that waits here."""
+        """Return the lowest rank with a waiting request, or None."""
         return min(self.counts(), default=None)
 
     def backlog_tokens(self, rank: int) -> int:
-        """Return the cost that waits at a rank and above."""
+        """Return the total cost of the requests waiting at a rank or above."""
         return sum(cost for each, cost in self._costs.items() if each >= rank)
 
     def next_deadline_s(self) -> float | None:
-        """Return the earliest deadline."""
+        """Return the earliest deadline of a waiting request, or None."""
         return self._deadlines[0][0] if self._deadlines else None
 
     def pop_expired(self, now_s: float) -> list[WaitingRequest]:
-        """Take out those whose deadline has come."""
-        gone = []
+        """Remove and return the requests whose deadline has passed."""
+        expired = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
-            gone.append(self.remove(self._deadlines[0][1]))
-        return gone
+            expired.append(self.remove(self._deadlines[0][1]))
+        return expired
 
     def lowest_victim(self, below_rank: int) -> WaitingRequest | None:
-        """Return, without taking it, the request to drop first for `below_rank`.
+        """Return, without removing it, the request to shed first for `below_rank`.
 
-        It is of the lowest tier that waits, and of the customer there with the
-        most waiting cost for its weight. None when nothing lower waits.
+        It is in the lowest waiting tier, from the customer there with the most
+        backlog per weight. None when no request below `below_rank` waits.
         """
         lowest = self.lowest_tier()
         if lowest is None or lowest >= below_rank:
@@ -163,21 +164,21 @@
         return next(r for r in self._requests.values() if r.call.tier == lowest)
 
     def drop_below(self, rank: int) -> list[WaitingRequest]:
-        """Take out every request of a lower tier."""
+        """Remove and return every request of a tier below `rank`."""
         if not any(each < rank for each in self.counts()):
             return []
         below = [item for item in self._items.values() if item.tier < rank]
         return [self._extract(item) for item in below]
 
     def reconfigure(self, service: Service, now_s: float) -> None:
-        """Put another document in force; requests keep their places."""
+        """Apply a new service document; each customer's requests keep their order."""
         requests = list(self._requests.values())
-        numbers = {key: item.number for key, item in self._items.items()}
+        tie_breakers = {key: item.tie_breaker for key, item in self._items.items()}
         self._service = service
         self._requests, self._items = {}, {}
         self._clear()
         for request in requests:
-            self._insert(request, number=numbers[request.call.request_id])
+            self._insert(request, tie_breaker=tie_breakers[request.call.request_id])
 
     def _clear(self) -> None:
         self._tiers: dict[int, TierQueue] = {}
@@ -187,15 +188,17 @@
         self._customers: Counter[str] = Counter()
         self._bytes = 0
 
-    def _insert(self, request: WaitingRequest, number: int | None = None) -> Item:
-        if number is None:
-            self._number += 1
-            number = self._number
-        item = self._item(request, number)
+    def _insert(
+        self, request: WaitingRequest, tie_breaker: int | None = None
+    ) -> QueueItem:
+        if tie_breaker is None:
+            self._last_tie_breaker += 1
+            tie_breaker = self._last_tie_breaker
+        item = self._make_item(request, tie_breaker)
         call = request.call
         self._requests[call.request_id] = request
         self._items[call.request_id] = item
-        self._tier_of(item).add(item)
+        self._tier_queue(item).add(item)
         self._deadlines.add((request.deadline_s, call.request_id))
         self._counts[call.tier] += 1
         self._costs[call.tier] += item.cost_tokens
@@ -203,10 +206,10 @@
         self._bytes += len(call.body)
         return item
 
-    def _extract(self, item: Item) -> WaitingRequest:
+    def _extract(self, item: QueueItem) -> WaitingRequest:
         request = self._requests.pop(item.request_id)
         del self._items[item.request_id]
-        self._tier_of(item).discard(item)
+        self._tier_queue(item).discard(item)
         self._deadlines.remove((request.deadline_s, item.request_id))
         self._counts[item.tier] -= 1
         self._costs[item.tier] -= item.cost_tokens
@@ -216,35 +219,35 @@
         self._bytes -= len(request.call.body)
         return request
 
-    def _item(self, request: WaitingRequest, number: int) -> Item:
+    def _make_item(self, request: WaitingRequest, tie_breaker: int) -> QueueItem:
         call = request.call
         cost = cost_tokens(call)
-        place_s = request.arrived_s
+        sort_time_s = request.arrived_s
         if self._policy.size_aware:
-            place_s = order_s(
+            sort_time_s = compute_sort_time_s(
                 arrived_s=request.arrived_s,
                 deadline_s=request.deadline_s,
                 cost_tokens=cost,
             )
-        return Item(
+        return QueueItem(
             request_id=call.request_id,
             tier=call.tier,
-            customer=call.customer if self._policy.fair else ANYONE,
+            customer=call.customer if self._policy.fair else SHARED_CUSTOMER,
             cost_tokens=cost,
             arrived_s=request.arrived_s,
             deadline_s=request.deadline_s,
-            order_s=place_s,
-            number=number,
-            warm=dict(request.cached_tokens) if self._policy.affinity else {},
+            sort_time_s=sort_time_s,
+            tie_breaker=tie_breaker,
+            cached_tokens=dict(request.cached_tokens) if self._policy.affinity else {},
         )
 
-    def _tier_of(self, item: Item) -> TierQueue:
-        rank = item.tier if self._policy.tiers else ANY_TIER
+    def _tier_queue(self, item: QueueItem) -> TierQueue:
+        rank = item.tier if self._policy.tiers else SHARED_TIER_RANK
         if rank not in self._tiers:
-            self._tiers[rank] = TierQueue(weight_of=self._weight)
+            self._tiers[rank] = TierQueue(weight_of=self._weight_of)
         return self._tiers[rank]
 
-    def _weight(self, name: str) -> float:
+    def _weight_of(self, name: str) -> float:
         customer = self._service.customer(name)
         if customer is None or customer.weight <= 0:
             return 1.0
