--- a/features/poison.feature
+++ b/features/poison.feature
@@ -1,79 +1,78 @@
-Feature: Content that crashes upstreams is refused, and bystanders aren't
+Feature: Content that crashes upstreams is quarantined, and bystanders aren't
 
-  Scenario: The culprit is told from what ran beside it
+  Scenario: The culprit is distinguished from content that ran beside it
     A request crashes its upstream; its caller sends it again and it crashes
-    another. Different requests ran beside it each time. Only what ran in both is
-    refused from then on.
-    Given a crash ledger with a threshold of 2
+    another. Different requests ran beside it each time, so only the content that
+    ran in both crashes is quarantined.
+    Given a crash history with a threshold of 2
     When "a" crashes running bad, b1, b2
     Then nothing is quarantined
     When "b" crashes running bad, b3, b4
-    Then just bad is quarantined
+    Then only bad is quarantined
 
-  Scenario: Crashes of one upstream are no evidence
-    An upstream that crashes by itself again and again would condemn whatever is
-    sent to it.
-    Given a crash ledger with a threshold of 2
+  Scenario: Repeated crashes of one upstream quarantine nothing
+    An upstream that keeps crashing for its own reasons would otherwise quarantine
+    whatever is sent to it.
+    Given a crash history with a threshold of 2
     When "a" crashes running b1
     And "a" crashes running b1
     Then nothing is quarantined
 
-  Scenario: A crash that is told of twice counts once
-    Given a crash ledger with a threshold of 2
+  Scenario: A crash that is reported twice counts once
+    Given a crash history with a threshold of 2
     When "a" crashes running bad
-    And the same crash is told again as of "b"
+    And the same crash is reported again for "b"
     Then nothing is quarantined
 
-  Scenario: A bystander that was sent again beside the culprit isn't refused
-    Both ran in the first two crashes, so more evidence is waited for. The third
-    crash shows which of them explains all three.
-    Given a crash ledger with a threshold of 2
+  Scenario: A bystander that was sent again beside the culprit isn't quarantined
+    Both ran in the first two crashes, so more evidence is needed. The third crash
+    shows which of them explains all three.
+    Given a crash history with a threshold of 2
     When "a" crashes running bad, b1
     And "b" crashes running bad, b1
     Then nothing is quarantined
     When "c" crashes running bad, b2
-    Then just bad is quarantined
+    Then only bad is quarantined
     When "d" crashes running b1
-    Then just bad is quarantined
+    Then only bad is quarantined
 
-  Scenario: Content that was answered whole is no suspect
-    A position check that everybody sends runs in every crash, since it runs
-    everywhere.
-    Given a crash ledger with a threshold of 2
+  Scenario: Content that was answered completely is no suspect
+    A request that every caller sends runs in every upstream, and so in every crash.
+    Given a crash history with a threshold of 2
     When popular is answered
     And "c" crashes running popular, b1
     And "d" crashes running popular, b2
     Then nothing is quarantined
     When "a" crashes running bad, popular
     And "b" crashes running bad, popular
-    Then just bad is quarantined
+    Then only bad is quarantined
 
-  Scenario: What can't be told apart is refused in the end
-    Given a crash ledger with a threshold of 2
+  Scenario: Contents that can't be distinguished are all quarantined in the end
+    Given a crash history with a threshold of 2
     When "a" crashes running bad, twin
     And "b" crashes running bad, twin
     And "c" crashes running bad, twin
     Then nothing is quarantined
     When "d" crashes running bad, twin
-    Then just bad, twin is quarantined
+    Then only bad, twin is quarantined
 
-  Scenario: What explains fewer crashes isn't refused with those that explain all
-    Given a crash ledger with a threshold of 2
+  Scenario: Content that explains fewer crashes isn't quarantined with the culprits
+    Given a crash history with a threshold of 2
     When "a" crashes running bad, twin
     And "a" crashes running bad, twin, b1
     And "b" crashes running bad, twin, b1
     And "c" crashes running bad, twin, b1
     And "d" crashes running bad, twin, b1
-    Then just bad, twin is quarantined
+    Then only bad, twin is quarantined
 
-  Scenario: A quarantine ends
-    Given a crash ledger with a threshold of 2
+  Scenario: A quarantine expires
+    Given a crash history with a threshold of 2
     When "a" crashes running bad
     And "b" crashes running bad
-    And 601 s pass for the ledger
+    And 601 s pass for the crash history
     Then nothing is quarantined
 
-  Scenario: Bystanders survive many seeds
-    Given 50 seeded runs of 10 upstreams with 8 slots, one culprit and callers that send again
+  Scenario: No bystander is quarantined over many seeds
+    Given 50 seeded runs of 10 upstreams with 8 slots, one culprit and callers that retry
     Then the culprit was quarantined in each run after at most 6 crashes
     And no bystander was quarantined in any run
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -16,20 +16,21 @@
     context.drain = DrainRate()
 
 
-@given("an admission and {count:d} waiting {tier}s of {tokens:d} tokens")
+@given("admission control with {count:d} waiting {tier}s of {tokens:d} tokens")
 def step_admission(context, count, tier, tokens):
     start(context)
     wait(context, count, tier=tier, tokens=tokens)
 
 
 @given(
-    "an admission where customers may send {rate:g} a second with a burst of {burst:d}"
+    "admission control where customers may send {rate:g} per second"
+    " with a burst of {burst:d}"
 )
 def step_admission_rate(context, rate, burst):
     start(context, requests_per_s=rate, burst=burst)
 
 
-@given("an admission where customers may have {count:d} waiting")
+@given("admission control where customers may have {count:d} waiting")
 def step_admission_waiting(context, count):
     start(context, waiting_max=count)
 
@@ -45,8 +46,8 @@
     wait(context, count, tokens=tokens)
 
 
-@when("{count:d} positions of {tokens:d} tokens leave at {rate:g} each second")
-def step_leave(context, count, tokens, rate):
+@when("{count:d} positions of {tokens:d} tokens are granted at {rate:g} per second")
+def step_granted(context, count, tokens, rate):
     for number in range(count):
         now_s = (number + 1) / rate
         taken = context.queue.take(now_s, upstream="x")
@@ -67,12 +68,14 @@
     return context.problem
 
 
-@then("a position with {left:g} s left is admitted at {now:g} s")
+@then("a position with {left:g} s to its deadline is admitted at {now:g} s")
 def step_admitted(context, left, now):
     assert admit(context, left, now) is None, context.problem
 
 
-@then('a position with {left:g} s left is refused as "{reason}" at {now:g} s')
+@then(
+    'a position with {left:g} s to its deadline is refused as "{reason}" at {now:g} s'
+)
 def step_refused(context, left, reason, now):
     problem = admit(context, left, now)
     assert problem is not None and problem.reason.value == reason, problem
@@ -86,11 +89,11 @@
     step_refused(context, 9.0, reason, now)
 
 
-@then("it may come back after {low:g} s to {high:g} s")
-def step_come_back(context, low, high):
+@then("it may be retried after {low:g} s to {high:g} s")
+def step_retry_after(context, low, high):
     assert low <= context.problem.retry_after_s <= high, context.problem
 
 
-@then("the drain rate of positions isn't known")
+@then("no drain rate of positions is measured")
 def step_unknown_rate(context):
     assert context.drain.tokens_per_s(TIERS["position"]) is None
--- a/features/steps/affinity_steps.py
+++ b/features/steps/affinity_steps.py
@@ -13,12 +13,13 @@
 from lavenderspoke.prefix import prefix_hashes
 
 
-def names(blocks):
+def hashes(blocks):
     return tuple(blocks.split(", "))
 
 
 @then(
-    "prompts alike in {shared:d} of {words:d} words share {count:d} names of {size:d}"
+    "prompts with {shared:d} of {words:d} words in common"
+    " share {count:d} hashes of blocks of {size:d}"
 )
 def step_shared(context, shared, words, count, size):
     common = [f"w{number}" for number in range(shared)]
@@ -27,64 +28,67 @@
     assert len(set(one) & set(two)) == count
 
 
-@then("a prompt of {words:d} words has {count:d} names in blocks of {size:d}")
-def step_count_names(context, words, count, size):
+@then("a prompt of {words:d} words has {count:d} hashes of blocks of {size:d}")
+def step_count_hashes(context, words, count, size):
     assert len(prefix_hashes("word " * words, size)) == count
 
 
-@then("a prompt of 3 words has no names in blocks of 4")
-def step_no_names(context):
+@then("a prompt of 3 words has no hashes of blocks of 4")
+def step_no_hashes(context):
     assert prefix_hashes("one two three", 4) == ()
 
 
-@then("the second block's name is the hash of the first name and its words")
-def step_name_scheme(context):
+@then("the second block's hash covers the first hash and its own words")
+def step_chained_hashes(context):
     first, second = prefix_hashes("a b c d", 2)
     assert first == hashlib.sha256(b" a b").hexdigest()[:16]
     assert second == hashlib.sha256(f"{first} c d".encode()).hexdigest()[:16]
 
 
-@given("a sketch of {entries:d} entries")
-def step_sketch(context, entries):
-    context.sketch = PrefixIndex(entries_max=entries)
+@given("a prefix index of {entries:d} entries")
+def step_index(context, entries):
+    context.index = PrefixIndex(entries_max=entries)
 
 
-@when('"{upstream}" holds blocks {blocks}')
-def step_holds(context, upstream, blocks):
-    context.sketch.add(upstream, names(blocks))
+@when('"{upstream}" caches blocks {blocks}')
+def step_caches(context, upstream, blocks):
+    context.index.add(upstream, hashes(blocks))
 
 
-@when('"{upstream}" drops blocks {blocks}')
-def step_drops(context, upstream, blocks):
-    context.sketch.remove(upstream, names(blocks))
+@when('"{upstream}" evicts blocks {blocks}')
+def step_evicts(context, upstream, blocks):
+    context.index.remove(upstream, hashes(blocks))
 
 
-@when('life {life} of "{upstream}" tells {sequence:d} that it holds blocks {blocks}')
-def step_tells(context, life, upstream, sequence, blocks):
-    message = PrefixHeld(service="s", sequence=sequence, added=names(blocks))
-    sender = InstanceId(name=f"agent-{upstream}", incarnation=life)
-    context.sketch.apply_event(sender, message, upstream=upstream)
+@when(
+    'event {sequence:d} of incarnation {incarnation} of "{upstream}"'
+    " adds blocks {blocks}"
+)
+def step_event(context, sequence, incarnation, upstream, blocks):
+    message = PrefixHeld(service="s", sequence=sequence, added=hashes(blocks))
+    sender = InstanceId(name=f"agent-{upstream}", incarnation=incarnation)
+    context.index.apply_event(sender, message, upstream=upstream)
 
 
 def lookup(context, blocks):
-    return context.sketch.lookup(names(blocks), 4)
+    return context.index.lookup(hashes(blocks), 4)
 
 
-@then("blocks {blocks} are warm at {expected}")
-def step_warm(context, blocks, expected):
+@then("blocks {blocks} are cached at {expected}")
+def step_cached(context, blocks, expected):
     pairs = dict(pair.split("=") for pair in expected.split(", "))
     found = lookup(context, blocks)
     assert found == {name: int(tokens) for name, tokens in pairs.items()}, found
 
 
-@then("blocks {blocks} are warm nowhere")
-def step_cold(context, blocks):
+@then("blocks {blocks} are cached nowhere")
+def step_not_cached(context, blocks):
     assert lookup(context, blocks) == {}
 
 
-@then("the sketch has {entries:d} entries")
+@then("the prefix index has {entries:d} entries")
 def step_entries(context, entries):
-    assert len(context.sketch) == entries
+    assert len(context.index) == entries
 
 
 @given("an agent whose engine has answered a prompt of blocks {blocks}")
@@ -98,7 +102,7 @@
 def step_answers(context, blocks):
     context.answers += 1
     call = make_call(f"r{context.answers}")
-    call = attrs.evolve(call, prefix_hashes=names(blocks))
+    call = attrs.evolve(call, prefix_hashes=hashes(blocks))
     demand = messages.Demand(service=call.service, waiting={call.tier: 1})
     pull = context.trace.hear(demand)[-1]
     grant = messages.Grant(nonce=pull.nonce, call=call, stamp=1, deadline_in_s=9.0)
@@ -107,13 +111,13 @@
     context.trace.feed(RunEnded(request_id=call.request_id))
 
 
-@when("its engine drops blocks {blocks}")
-def step_engine_drops(context, blocks):
-    context.trace.feed(CacheChanged(removed=names(blocks)))
+@when("its engine evicts blocks {blocks}")
+def step_engine_evicts(context, blocks):
+    context.trace.feed(CacheChanged(removed=hashes(blocks)))
 
 
-@then("the entry was told of blocks {blocks}")
-def step_told(context, blocks):
-    told = [send.message.added for send in context.trace.sent(PrefixHeld)]
-    expected = [names(each) for each in blocks.split(" and then of ")]
-    assert [added for added in told if added] == expected, told
+@then("the agent reported blocks {blocks}")
+def step_reported(context, blocks):
+    reported = [send.message.added for send in context.trace.sent(PrefixHeld)]
+    expected = [hashes(each) for each in blocks.split(" and then ")]
+    assert [added for added in reported if added] == expected, reported
--- a/lavenderspoke/admission.py
+++ b/lavenderspoke/admission.py
@@ -1,4 +1,4 @@
-"""Which arrivals an entry refuses at once, and when they may come back."""
+"""Refuses arrivals over their customer's limits or sure to miss their deadline."""
 
 from random import Random
 
@@ -12,32 +12,33 @@
 
 RETRY_AFTER_MIN_S = 1.0
 RETRY_AFTER_MAX_S = 60.0
-# Refused callers come back spread over this part of the wait beyond it.
+# Retry-After is lengthened at random by up to this share, so that refused callers
+# don't all come back at once.
 RETRY_AFTER_JITTER = 0.5
 
 
 @attrs.define(kw_only=True)
 class TokenBucket:
-    """A token bucket that starts full.
+    """A token bucket that starts full; `per_s` tokens are added each second.
 
-    >>> bucket = TokenBucket(per_s=2.0, burst=1, at_s=0.0)
+    >>> bucket = TokenBucket(per_s=2.0, burst=1, refilled_s=0.0)
     >>> bucket.take(0.0), bucket.take(0.0)
     (0.0, 0.5)
     """
 
     per_s: float
     burst: int
-    at_s: float
+    refilled_s: float
     tokens: float = attrs.field(init=False)
 
     def __attrs_post_init__(self):
         self.tokens = float(self.burst)
 
     def take(self, now_s: float) -> float:
-        """Take a token and return 0.0, or return the seconds until there is one."""
-        elapsed_s = max(0.0, now_s - self.at_s)
+        """Take a token and return 0.0, or return the seconds until one is available."""
+        elapsed_s = max(0.0, now_s - self.refilled_s)
         self.tokens = min(float(self.burst), self.tokens + elapsed_s * self.per_s)
-        self.at_s = now_s
+        self.refilled_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
@@ -45,20 +46,20 @@
 
 
 class Admission:
-    """Admission to one service at one entry.
+    """Admission control of one service at one entry.
 
-    A customer's limits hold at each entry by itself; with several entries
-    behind a balancer, a customer may use the limit at each of them.
+    Customer limits apply to each entry separately: behind a load balancer, a
+    customer may use its limits at every entry.
     """
 
     def __init__(self, *, service: Service, random: Random):
         self._service = service
         self._random = random
         self._buckets: dict[str, TokenBucket] = {}
-        self._waits_s: dict[int, float] = {}
+        self._last_waits_s: dict[int, float] = {}
 
     def reconfigure(self, service: Service) -> None:
-        """Put another document in force; changed limits start afresh."""
+        """Apply a new service document; buckets of changed customers start full."""
         for name in list(self._buckets):
             if service.customer(name) != self._service.customer(name):
                 del self._buckets[name]
@@ -72,18 +73,18 @@
         queue: WaitingQueue,
         drain_rate: DrainRate,
     ) -> Problem | None:
-        """Return why a request is refused before it waits, or None.
+        """Return why a request is refused before it is queued, or None to admit it.
 
-        A deadline counts as unreachable only when what waits at its tier and
-        above can't leave before it at the measured rate. Where there is no
-        measurement, the request is admitted.
+        A deadline is unreachable when the requests queued at its tier and above
+        would take longer to leave at the measured drain rate. Without a
+        measured rate the deadline isn't checked.
         """
-        wait_s = self._estimate_s(call.tier, queue, drain_rate)
+        wait_s = self._estimate_wait_s(call.tier, queue, drain_rate)
         if wait_s is not None and wait_s > deadline_in_s:
             return _refusal(
                 Reason.DEADLINE_UNREACHABLE, self.retry_after_s(call.tier, now_s)
             )
-        return self._over_limit(call, now_s, queue)
+        return self._check_customer_limits(call, now_s, queue)
 
     def retry_after_s(
         self,
@@ -92,26 +93,27 @@
         queue: WaitingQueue | None = None,
         drain_rate: DrainRate | None = None,
     ) -> float:
-        """Return when a refused caller of a tier should come back, with jitter.
+        """Return the seconds after which a refused caller should retry, with jitter.
 
-        It comes from the drain rate: with `queue` and `drain` as they are now,
-        else as they were at the tier's latest arrival.
+        The estimate comes from the tier's backlog and drain rate: the current
+        ones if `queue` and `drain_rate` are given, else those of the last call
+        that had them.
         """
         if queue is not None and drain_rate is not None:
-            self._estimate_s(rank, queue, drain_rate)
-        return self._spread_s(self._waits_s.get(rank, RETRY_AFTER_MIN_S))
+            self._estimate_wait_s(rank, queue, drain_rate)
+        return self._with_jitter_s(self._last_waits_s.get(rank, RETRY_AFTER_MIN_S))
 
-    def _estimate_s(
-        self, rank: int, queue: WaitingQueue, drain: DrainRate
+    def _estimate_wait_s(
+        self, rank: int, queue: WaitingQueue, drain_rate: DrainRate
     ) -> float | None:
-        tokens_per_s = drain.tokens_per_s(rank)
+        tokens_per_s = drain_rate.tokens_per_s(rank)
         if tokens_per_s is None:
-            self._waits_s.pop(rank, None)
+            self._last_waits_s.pop(rank, None)
             return None
-        self._waits_s[rank] = queue.backlog_tokens(rank) / tokens_per_s
-        return self._waits_s[rank]
+        self._last_waits_s[rank] = queue.backlog_tokens(rank) / tokens_per_s
+        return self._last_waits_s[rank]
 
-    def _over_limit(
+    def _check_customer_limits(
         self, call: Call, now_s: float, queue: WaitingQueue
     ) -> Problem | None:
         customer = self._service.customer(call.customer)
@@ -121,7 +123,7 @@
             return _refusal(Reason.CUSTOMER_LIMIT, self.retry_after_s(call.tier, now_s))
         wait_s = self._bucket_wait_s(customer, now_s)
         if wait_s > 0.0:
-            return _refusal(Reason.CUSTOMER_LIMIT, self._spread_s(wait_s))
+            return _refusal(Reason.CUSTOMER_LIMIT, self._with_jitter_s(wait_s))
         return None
 
     def _bucket_wait_s(self, customer: Customer, now_s: float) -> float:
@@ -129,11 +131,11 @@
             return 0.0
         if customer.name not in self._buckets:
             self._buckets[customer.name] = TokenBucket(
-                per_s=customer.requests_per_s, burst=customer.burst, at_s=now_s
+                per_s=customer.requests_per_s, burst=customer.burst, refilled_s=now_s
             )
         return self._buckets[customer.name].take(now_s)
 
-    def _spread_s(self, wait_s: float) -> float:
+    def _with_jitter_s(self, wait_s: float) -> float:
         bounded_s = min(max(wait_s, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S)
         return bounded_s * (1.0 + self._random.random() * RETRY_AFTER_JITTER)
 
--- a/lavenderspoke/affinity.py
+++ b/lavenderspoke/affinity.py
@@ -1,7 +1,8 @@
-"""Which upstream is believed to hold which prompt prefix.
+"""Tracks which upstream probably has which prompt prefixes in its cache.
 
-It is a hint, built from events that come late and with gaps and from the
-system's own completions. A wrong hint costs time, never correctness.
+It is a hint, built from agents' events about cache changes and completed
+requests, which may arrive late or with gaps. A wrong hint costs time, never
+correctness.
 """
 
 from collections import OrderedDict
@@ -13,108 +14,111 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Position:
+class _EventPosition:
     incarnation: str
     sequence: int
 
 
 class PrefixIndex:
-    """A bounded map from prefix names to the upstreams that hold them.
+    """A bounded map from prefix hashes to the upstreams that have them cached.
 
-    `entries_max` bounds the pairs of name and upstream. The names that were
-    held or looked up longest ago are forgotten first.
+    `entries_max` bounds the number of (prefix, upstream) pairs. The prefixes
+    least recently added or looked up are evicted first.
     """
 
     def __init__(self, *, entries_max: int):
         self._entries_max = entries_max
-        self._holders: OrderedDict[str, set[str]] = OrderedDict()
-        self._names: dict[str, set[str]] = {}
-        self._positions: dict[str, _Position] = {}
+        self._upstreams_by_prefix: OrderedDict[str, set[str]] = OrderedDict()
+        self._prefixes_by_upstream: dict[str, set[str]] = {}
+        self._positions: dict[str, _EventPosition] = {}
         self._entries = 0
 
     def __len__(self) -> int:
         return self._entries
 
     def add(self, upstream: str, hashes: tuple[str, ...]) -> None:
-        """Believe that an upstream holds these prefixes."""
-        names = self._names.setdefault(upstream, set())
-        # The shortest prefix is touched last: a longer one is no use without
-        # it, so it must not be forgotten first.
-        for name in reversed(hashes):
-            holders = self._holders.setdefault(name, set())
-            self._holders.move_to_end(name)
+        """Record that an upstream has these prefixes cached."""
+        prefixes = self._prefixes_by_upstream.setdefault(upstream, set())
+        # The shortest prefix is touched last, so that it is evicted last: a longer
+        # one is useless without it.
+        for prefix in reversed(hashes):
+            holders = self._upstreams_by_prefix.setdefault(prefix, set())
+            self._upstreams_by_prefix.move_to_end(prefix)
             if upstream not in holders:
                 holders.add(upstream)
-                names.add(name)
+                prefixes.add(prefix)
                 self._entries += 1
         while self._entries > self._entries_max:
-            self._forget_oldest()
+            self._evict_oldest()
 
     def remove(self, upstream: str, hashes: tuple[str, ...]) -> None:
-        """Believe that an upstream no longer holds these prefixes."""
-        names = self._names.get(upstream, set())
-        for name in hashes:
-            if name in names:
-                names.remove(name)
-                self._remove(upstream, name)
+        """Record that an upstream no longer has these prefixes cached."""
+        prefixes = self._prefixes_by_upstream.get(upstream, set())
+        for prefix in hashes:
+            if prefix in prefixes:
+                prefixes.remove(prefix)
+                self._remove_entry(upstream, prefix)
 
     def remove_upstream(self, upstream: str) -> None:
-        """Forget all that was believed of an upstream."""
-        for name in self._names.pop(upstream, set()):
-            self._remove(upstream, name)
+        """Remove all entries of an upstream and its position in the events."""
+        for prefix in self._prefixes_by_upstream.pop(upstream, set()):
+            self._remove_entry(upstream, prefix)
         self._positions.pop(upstream, None)
 
     def apply_event(
         self, sender: InstanceId, message: PrefixHeld, *, upstream: str
     ) -> bool:
-        """Take in an agent's event; return False when it told of a gap.
+        """Apply an agent's event; return False if it reveals a gap in the events.
 
-        Events count within an incarnation. After a gap, a restart or a reset
-        an unheard removal may have been missed, and requests would wait for a
-        cache that is cold; so all that was believed before is forgotten. A late
-        or doubled event is ignored.
+        Events are numbered within an incarnation. After a gap, a restart or a
+        reset a removal may have been missed, and requests would wait for an
+        upstream whose cache is cold, so the upstream's earlier entries are
+        removed. Late and duplicate events are ignored.
         """
         known = self._positions.get(upstream)
-        same_life = known is not None and known.incarnation == sender.incarnation
-        if same_life and message.sequence <= known.sequence:
+        is_same_incarnation = (
+            known is not None and known.incarnation == sender.incarnation
+        )
+        if is_same_incarnation and message.sequence <= known.sequence:
             return True
-        follows = same_life and message.sequence == known.sequence + 1
-        if not follows or message.reset:
+        is_next = is_same_incarnation and message.sequence == known.sequence + 1
+        if not is_next or message.reset:
             self.remove_upstream(upstream)
-        self._positions[upstream] = _Position(
+        self._positions[upstream] = _EventPosition(
             incarnation=sender.incarnation, sequence=message.sequence
         )
         self.remove(upstream, message.removed)
         self.add(upstream, message.added)
-        return follows or known is None
+        return is_next or known is None
 
     def lookup(self, hashes: tuple[str, ...], block_tokens: int) -> dict[str, int]:
-        """Return, by upstream, the leading tokens it is believed to hold.
+        """Return the number of leading tokens that each upstream probably has cached.
 
-        Only unbroken runs from the first block on count.
+        `hashes` are those of a prompt; only blocks cached contiguously from the
+        first one count. Upstreams with none are left out.
         """
         tokens: dict[str, int] = {}
-        current: set[str] | None = None
-        for number, name in enumerate(hashes, start=1):
-            holders = self._holders.get(name, set())
-            current = set(holders) if current is None else current & holders
-            if not current:
+        unbroken: set[str] | None = None
+        for number, prefix in enumerate(hashes, start=1):
+            holders = self._upstreams_by_prefix.get(prefix, set())
+            unbroken = set(holders) if unbroken is None else unbroken & holders
+            if not unbroken:
                 break
-            tokens.update(dict.fromkeys(current, number * block_tokens))
-        for name in reversed(hashes):
-            if name in self._holders:
-                self._holders.move_to_end(name)
+            tokens.update(dict.fromkeys(unbroken, number * block_tokens))
+        for prefix in reversed(hashes):
+            if prefix in self._upstreams_by_prefix:
+                self._upstreams_by_prefix.move_to_end(prefix)
         return tokens
 
-    def _remove(self, upstream: str, name: str) -> None:
-        holders = self._holders[name]
+    def _remove_entry(self, upstream: str, prefix: str) -> None:
+        holders = self._upstreams_by_prefix[prefix]
         holders.remove(upstream)
         self._entries -= 1
         if not holders:
-            del self._holders[name]
+            del self._upstreams_by_prefix[prefix]
 
-    def _forget_oldest(self) -> None:
-        name, holders = self._holders.popitem(last=False)
+    def _evict_oldest(self) -> None:
+        prefix, holders = self._upstreams_by_prefix.popitem(last=False)
         self._entries -= len(holders)
         for upstream in holders:
-            self._names[upstream].discard(name)
+            self._prefixes_by_upstream[upstream].discard(prefix)
--- a/lavenderspoke/poison.py
+++ b/lavenderspoke/poison.py
@@ -1,11 +1,11 @@
-"""Which request content is refused because upstreams crash when they run it.
-
-A crash names everything that ran in the upstream, the culprit and the
-bystanders. Content is quarantined when it ran in crashes of enough distinct
-upstreams and nothing else explains those crashes as well: a bystander's
-crashes are always some of the culprit's. Two that ran in exactly the same
-crashes can't be told apart, so more crashes are waited for. Content that any
-upstream has answered whole is no suspect.
+"""Detects and quarantines request content that crashes upstreams.
+
+Crash evidence names all content that was running in the upstream: the culprit
+and bystanders. Content is quarantined when it ran in crashes of enough distinct
+upstreams and no other content explains those crashes as well; a bystander's
+crashes are a subset of the culprit's. Contents that ran in exactly the same
+crashes can't be distinguished, so they are quarantined only after more crashes.
+Content that any upstream has answered completely is never a suspect.
 """
 
 from collections import OrderedDict
@@ -16,14 +16,14 @@
 
 CRASHES_MAX = 256
 ANSWERED_MAX = 4096
-# Crashes beyond the threshold after which content that can't be told apart is
-# quarantined together.
+# Crashed upstreams beyond the threshold after which contents that can't be
+# distinguished are all quarantined.
 AMBIGUOUS_EXTRA = 2
 
 
 @attrs.frozen(kw_only=True)
 class QuarantinePolicy:
-    """After how many distinct crashed upstreams a request is refused."""
+    """After how many distinct crashed upstreams content is refused, and how long."""
 
     upstreams_threshold: int = attrs.field(
         default=2, metadata=fieldrules.between(1, 100)
@@ -35,10 +35,10 @@
 
 @attrs.frozen(kw_only=True)
 class CrashEvidence:
-    """An agent tells that its upstream crashed and what ran in it.
+    """Reports that an upstream crashed, and which content was running in it.
 
-    `upstream` names the crashed upstream; the fingerprints cover content only,
-    so that a re-send under a new key is recognised.
+    The fingerprints cover the requests' content only, so a re-send under
+    another key is recognised.
     """
 
     service: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class Quarantined:
-    """A fingerprint is refused everywhere for `ttl_s` from now."""
+    """Announces that a fingerprint is refused for `ttl_s` from receipt."""
 
     service: str
     fingerprint: str
@@ -64,28 +64,28 @@
 
 
 class CrashHistory:
-    """The crashes of one service that are still remembered, and the verdicts.
+    """The recent crashes of one service, and its quarantined fingerprints.
 
-    Crashes are forgotten after the document's `quarantine_s`.
+    Crashes are kept for the policy's `quarantine_s`, at most `CRASHES_MAX`.
     """
 
     def __init__(self, *, service: str, poison: QuarantinePolicy):
         self._service = service
-        self._poison = poison
+        self._policy = poison
         self._crashes: OrderedDict[str, _Crash] = OrderedDict()
         self._answered: OrderedDict[str, None] = OrderedDict()
         self._quarantined_until_s: dict[str, float] = {}
 
     def reconfigure(self, poison: QuarantinePolicy) -> None:
-        """Put another document's rule in force."""
-        self._poison = poison
+        """Apply the policy of a new service document."""
+        self._policy = poison
 
     def record_crash(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
-        """Take in a crash and return what is quarantined by it.
+        """Record a crash and return the quarantines that follow from it.
 
-        A crash that was told of before changes nothing.
+        A crash with an id that is already recorded changes nothing.
         """
-        self._forget_old(now_s)
+        self._expire(now_s)
         if message.crash_id in self._crashes:
             return []
         self._crashes[message.crash_id] = _Crash(
@@ -93,60 +93,63 @@
             fingerprints=frozenset(each for each in message.fingerprints if each),
             at_s=now_s,
         )
-        guilty = [
+        culprits = [
             each
             for each in sorted(self._crashes[message.crash_id].fingerprints)
-            if not self.is_quarantined(each, now_s) and self._guilty(each, now_s)
+            if not self.is_quarantined(each, now_s) and self._is_culprit(each, now_s)
         ]
-        for fingerprint in guilty:
-            self._hold(fingerprint, now_s + self._poison.quarantine_s)
+        for fingerprint in culprits:
+            self._quarantine(fingerprint, now_s + self._policy.quarantine_s)
         return [
             Quarantined(
                 service=self._service,
                 fingerprint=fingerprint,
-                ttl_s=self._poison.quarantine_s,
+                ttl_s=self._policy.quarantine_s,
             )
-            for fingerprint in guilty
+            for fingerprint in culprits
         ]
 
     def record_answered(self, fingerprint: str) -> None:
-        """Note that an upstream answered this content whole."""
+        """Record that an upstream answered this content completely."""
         self._answered[fingerprint] = None
         self._answered.move_to_end(fingerprint)
         if len(self._answered) > ANSWERED_MAX:
             self._answered.popitem(last=False)
 
     def apply_quarantine(self, message: Quarantined, now_s: float) -> None:
-        """Take over a verdict of another daemon."""
-        self._hold(message.fingerprint, now_s + message.ttl_s)
+        """Apply a quarantine that another daemon announced."""
+        self._quarantine(message.fingerprint, now_s + message.ttl_s)
 
     def is_quarantined(self, fingerprint: str, now_s: float) -> bool:
-        """Return whether this content is refused."""
+        """Return whether this content is quarantined now."""
         return now_s < self._quarantined_until_s.get(fingerprint, now_s)
 
-    def _hold(self, fingerprint: str, until_s: float) -> None:
+    def _quarantine(self, fingerprint: str, until_s: float) -> None:
         known_s = self._quarantined_until_s.get(fingerprint, until_s)
         self._quarantined_until_s[fingerprint] = max(until_s, known_s)
 
-    def _guilty(self, fingerprint: str, now_s: float) -> bool:
+    def _is_culprit(self, fingerprint: str, now_s: float) -> bool:
         if fingerprint in self._answered:
             return False
-        crashes = self._unexplained(fingerprint, now_s)
+        crashes = self._unexplained_crashes(fingerprint, now_s)
         upstreams = {self._crashes[crash_id].upstream for crash_id in crashes}
-        if len(upstreams) < self._poison.upstreams_threshold:
+        if len(upstreams) < self._policy.upstreams_threshold:
             return False
-        rivals = self._rivals(fingerprint, crashes)
-        # Whatever ran in all of these crashes and in more explains them better.
-        if any(len(self._unexplained(each, now_s)) > len(crashes) for each in rivals):
+        others = self._other_suspects(fingerprint, crashes)
+        # Content that ran in all of these crashes and in others is more suspect.
+        if any(
+            len(self._unexplained_crashes(each, now_s)) > len(crashes)
+            for each in others
+        ):
             return False
-        enough = self._poison.upstreams_threshold + AMBIGUOUS_EXTRA
-        return not rivals or len(upstreams) >= enough
+        ambiguous_threshold = self._policy.upstreams_threshold + AMBIGUOUS_EXTRA
+        return not others or len(upstreams) >= ambiguous_threshold
 
-    def _unexplained(self, fingerprint: str, now_s: float) -> set[str]:
-        """Return the crashes it ran in where nothing quarantined ran beside it.
+    def _unexplained_crashes(self, fingerprint: str, now_s: float) -> set[str]:
+        """Return the crashes it ran in that no other quarantined content explains.
 
-        Without this a bystander of a known culprit would need just one crash
-        of another cause to be condemned too.
+        Otherwise a bystander in crashes of a known culprit would be quarantined
+        after a single crash with another cause.
         """
         return {
             crash_id
@@ -159,8 +162,8 @@
             )
         }
 
-    def _rivals(self, fingerprint: str, crashes: set[str]) -> set[str]:
-        """Return the other suspects that ran in all of these crashes."""
+    def _other_suspects(self, fingerprint: str, crashes: set[str]) -> set[str]:
+        """Return the other unanswered contents that ran in all of these crashes."""
         shared = [self._crashes[crash_id].fingerprints for crash_id in crashes]
         common = frozenset.intersection(*shared)
         return {
@@ -169,11 +172,11 @@
             if each != fingerprint and each not in self._answered
         }
 
-    def _forget_old(self, now_s: float) -> None:
-        kept_since_s = now_s - self._poison.quarantine_s
+    def _expire(self, now_s: float) -> None:
+        cutoff_s = now_s - self._policy.quarantine_s
         while self._crashes:
             oldest = next(iter(self._crashes.values()))
-            if oldest.at_s > kept_since_s and len(self._crashes) < CRASHES_MAX:
+            if oldest.at_s > cutoff_s and len(self._crashes) < CRASHES_MAX:
                 break
             self._crashes.popitem(last=False)
         self._quarantined_until_s = {
--- a/lavenderspoke/prefix.py
+++ b/lavenderspoke/prefix.py
@@ -1,6 +1,7 @@
-"""How the leading blocks of a prompt are named.
+"""Hashes the leading blocks of a prompt.
 
-A name covers its block and all before it, so equal names mean equal prefixes.
+A hash covers its block and all blocks before it, so equal hashes mean equal
+prefixes.
 """
 
 import hashlib
@@ -11,10 +12,10 @@
 
 
 def prefix_hashes(text: str, block_tokens: int) -> tuple[str, ...]:
-    """Return the names of a prompt's whole leading blocks, longest prefix last.
+    """Return the hashes of a prompt's complete leading blocks, longest prefix last.
 
     A block is `block_tokens` whitespace-separated words. At most `BLOCKS_MAX`
-    blocks are named; a longer shared prefix counts as one of that length.
+    blocks are hashed; a longer shared prefix counts as one of that length.
 
     >>> len(prefix_hashes("one two three four five", 2))
     2
@@ -24,10 +25,10 @@
     words_max = BLOCKS_MAX * block_tokens
     words = text.split(maxsplit=words_max)[:words_max]
     starts = range(0, len(words) + 1, block_tokens)
-    names: list[str] = []
-    previous = ""
+    hashes: list[str] = []
+    previous_hash = ""
     for start, end in pairwise(starts):
-        content = previous + " " + " ".join(words[start:end])
-        previous = hashlib.sha256(content.encode()).hexdigest()[:HASH_DIGITS]
-        names.append(previous)
-    return tuple(names)
+        content = previous_hash + " " + " ".join(words[start:end])
+        previous_hash = hashlib.sha256(content.encode()).hexdigest()[:HASH_DIGITS]
+        hashes.append(previous_hash)
+    return tuple(hashes)
--- a/lavenderspoke/retrybudget.py
+++ b/lavenderspoke/retrybudget.py
@@ -1,7 +1,7 @@
-"""How many retries a service may have for its first tries.
+"""Retry budgets: limit retries to a ratio of first attempts.
 
-Without a bound, callers that send again when they are refused, and grants that
-are offered again inside the system, add load exactly when there is too much.
+Without a limit, callers that retry after a refusal, and retries inside the
+system, add load exactly when there is already too much.
 """
 
 import math
@@ -10,23 +10,23 @@
 
 from lavenderspoke.checking import fieldrules
 
-# First tries count towards the budget for about this long.
+# Decay time constant: first attempts count towards the budget for about this long.
 TIME_CONSTANT_S = 10.0
 
 
 @attrs.frozen(kw_only=True)
 class RetryBudget:
-    """Retries allowed as a ratio of first tries, and a floor a second."""
+    """Allowed retries as a ratio of first attempts, and a minimum per second."""
 
     ratio: float = attrs.field(default=0.1, metadata=fieldrules.between(0, 10))
     per_s_min: float = attrs.field(default=1.0, metadata=fieldrules.between(0, 10_000))
 
 
 class RetryAllowance:
-    """The retries that one daemon may still spend for one service.
+    """The balance of retries that one daemon may still send for one service.
 
-    Each first try adds the document's ratio, each second adds its floor, and
-    what isn't spent fades, so a quiet hour doesn't pay for a storm.
+    Each first attempt adds the budget's ratio and each second adds its minimum.
+    Unspent retries decay, so an idle hour doesn't allow a retry storm.
 
     >>> allowance = RetryAllowance(budget=RetryBudget(ratio=0.5, per_s_min=0.0))
     >>> for _ in range(4):
@@ -38,38 +38,38 @@
     def __init__(self, *, budget: RetryBudget, now_s: float = 0.0):
         self._budget = budget
         self._balance = budget.per_s_min * TIME_CONSTANT_S
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def reconfigure(self, budget: RetryBudget) -> None:
-        """Put another budget in force.
+        """Apply another budget.
 
-        The floor counts at once: one that was too high at the start, before the
-        other daemons were known, must not be spent any more.
+        A changed minimum adjusts the balance at once: a start balance that was
+        too high, because the other daemons weren't known yet, must not be spent.
         """
         added_per_s = budget.per_s_min - self._budget.per_s_min
         self._balance += added_per_s * TIME_CONSTANT_S
         self._budget = budget
 
     def record_first_attempt(self, now_s: float) -> None:
-        """Count a first try."""
-        self._fade(now_s)
+        """Credit the budget's ratio for a first attempt."""
+        self._decay(now_s)
         self._balance += self._budget.ratio
 
     def try_spend(self, now_s: float) -> bool:
-        """Take one retry, or return False when there is none left."""
-        self._fade(now_s)
+        """Spend one retry, or return False if the balance is below one."""
+        self._decay(now_s)
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
         return True
 
     def refund(self) -> None:
-        """Count back one retry that was taken and not sent."""
+        """Return one retry to the balance that was spent and not sent."""
         self._balance += 1.0
 
-    def _fade(self, now_s: float) -> None:
-        elapsed_s = max(0.0, now_s - self._at_s)
-        kept = math.exp(-elapsed_s / TIME_CONSTANT_S)
-        floor = self._budget.per_s_min * TIME_CONSTANT_S
-        self._balance = self._balance * kept + floor * (1.0 - kept)
-        self._at_s = now_s
+    def _decay(self, now_s: float) -> None:
+        elapsed_s = max(0.0, now_s - self._updated_s)
+        kept_share = math.exp(-elapsed_s / TIME_CONSTANT_S)
+        minimum = self._budget.per_s_min * TIME_CONSTANT_S
+        self._balance = self._balance * kept_share + minimum * (1.0 - kept_share)
+        self._updated_s = now_s
