--- a/features/bagrules.py
+++ b/features/bagrules.py
@@ -1,4 +1,4 @@
-"""The choices of a property: what may happen next in a bag of messages."""
+"""The random steps that the property tests run on a `CoreBag`."""
 
 from collections.abc import Callable, Sequence
 
@@ -26,7 +26,7 @@
 ADVANCES_S = (0.01, 0.03, 0.1, 0.3, 0.3, 1.0)
 JUMPS_S = (2.0, 5.0, 12.0)
 AGENTS_MAX = 4
-# What would do harm if it were taken for news of the present.
+# Messages that would do harm if a late copy were treated as current.
 DELAYED = (Claimed, Grant, Granted, Refused, Revoke, Revoked, Unclaim)
 
 
@@ -36,13 +36,13 @@
 
 
 def entry_of(bag: CoreBag, number: int) -> Instance | None:
-    lives = [each for each in bag.entries.values() if not each.is_gone]
-    return pick(lives, number)
+    alive = [each for each in bag.entries.values() if not each.is_gone]
+    return pick(alive, number)
 
 
 def agent_of(bag: CoreBag, number: int) -> Instance | None:
-    lives = [each for each in bag.agents.values() if not each.is_gone]
-    return pick(lives, number)
+    alive = [each for each in bag.agents.values() if not each.is_gone]
+    return pick(alive, number)
 
 
 def flow(bag: CoreBag, number: int) -> None:
@@ -65,7 +65,7 @@
 
 
 def delay(bag: CoreBag, number: int) -> None:
-    """Hold a message back, or a copy of it, until `deliver_late`."""
+    """Hold back a message, or a copy of it, until `deliver_late`."""
     found = [each for each in bag.parcels if isinstance(each.message, DELAYED)]
     if found:
         parcel = pick(found, number // 2)
@@ -180,7 +180,7 @@
 
 
 def finish(bag: CoreBag, number: int) -> None:
-    """Let every answer come to its end, as an agent needs in order to leave."""
+    """Complete every answer, since an agent can't leave before that."""
     for _ in range(6):
         for upstream in bag.upstreams.values():
             for relay in list(upstream.relays):
@@ -199,7 +199,7 @@
 
 
 def send_some(bag: CoreBag, number: int) -> None:
-    """Send, unless so much waits that the order of tiers is given up."""
+    """Send, unless so many requests wait that tier order isn't guaranteed."""
     entry = entry_of(bag, number)
     waiting = len(entry.core.requests) + len(entry.inbox)
     if waiting < 2 * bag.settings.waiting_max:
@@ -216,7 +216,7 @@
 
 
 def advance_little(bag: CoreBag, number: int) -> None:
-    """Let time go on; no message is under way for longer than two of these."""
+    """Advance the time; a message is delivered within two of these steps."""
     late = bag.parcels[:]
     bag.advance(pick((0.01, 0.05, 0.2), number))
     for parcel in late:
@@ -260,26 +260,28 @@
 }
 
 
-def choices(weights: dict[str, int], *, least: int = 30, most: int = 90):
-    """Return a strategy of lists of choices; a rule's weight is how often.
+def choices(weights: dict[str, int], *, count_min: int = 30, count_max: int = 90):
+    """Return a strategy for lists of choices; weights are the rules' frequencies.
 
-    Half of them come from a seed: hypothesis's own lists repeat themselves so
-    much that long chains of causes are rare in them.
+    Half of the lists come from a seeded generator: hypothesis's own lists repeat
+    values so often that long causal chains are rare in them.
     """
     names = [name for name, weight in weights.items() for _ in range(weight)]
     each = strategies.tuples(strategies.sampled_from(names), strategies.integers(0, 97))
 
     def seeded(random) -> list[Choice]:
-        count = random.randint(least, most + least)
+        count = random.randint(count_min, count_max + count_min)
         return [(random.choice(names), random.randrange(98)) for _ in range(count)]
 
-    lists = strategies.lists(each, min_size=least, max_size=most)
+    lists = strategies.lists(each, min_size=count_min, max_size=count_max)
     return lists | strategies.randoms(use_true_random=True).map(seeded)
 
 
-def run_choices(bag: CoreBag, made: list[Choice], *, is_healed: bool = True) -> CoreBag:
-    """Carry choices out, then heal everything and check how it all ended."""
-    for name, number in made:
+def run_choices(
+    bag: CoreBag, chosen: list[Choice], *, is_healed: bool = True
+) -> CoreBag:
+    """Run choices, then heal all faults and check the final state."""
+    for name, number in chosen:
         RULES[name](bag, number)
     if is_healed:
         bag.heal()
--- a/features/runselector.feature
+++ b/features/runselector.feature
@@ -1,45 +1,45 @@
 Feature: One thread reads the streams of an upstream
-  The agent sends each request on a thread, and leaves the rest of its answer to
-  the selector, which gives the events in order.
+  The agent sends each request on its own thread and hands the rest of the answer
+  to the selector, which delivers the events in order.
 
   Scenario: Many streams at once
     Given a model engine stand-in with 32 slots
-    When 100 runs of 20 tokens are left to a selector
-    Then each of them has its whole answer, ended once
+    When 100 runs of 20 tokens are handed to a selector
+    Then each run has its complete answer and ends once
 
-  Scenario: One stream is cut, the others go on
-    The connection of the first run is cut by the engine after three events. Its
-    taker sees a broken run, and the others' answers are whole.
+  Scenario: One stream is cut and the others continue
+    The engine cuts the connection of the first run after three events. That run is
+    reported as broken, and the others' answers are complete.
     Given a model engine stand-in
     And the engine's fault "cut_after_events" is 3
-    When 1 run of 20 tokens is left to a selector
+    When 1 run of 20 tokens is handed to a selector
     And the engine's fault "cut_after_events" becomes -1
-    And 10 more runs of 20 tokens are left to it
-    Then the first is broken and the others have their whole answers
+    And 10 more runs of 20 tokens are handed to it
+    Then the first is broken and the others have complete answers
 
   Scenario: An engine freezes in the middle of its streams
-    No byte comes and no connection breaks, as with a machine that stalls. After
-    the silence that is allowed, every taker is told.
+    No byte arrives and no connection breaks, as when a machine stalls. After the
+    read timeout every run is reported as broken.
     Given a model engine stand-in with slow steps
-    When 3 runs of 1000 tokens are left to a selector for 0.5 seconds of silence
+    When 3 runs of 1000 tokens are handed to a selector with a timeout of 0.5 seconds
     And the engine's fault "freeze" becomes 1
-    Then each of them is told of the silence once
+    Then each run is reported as silent once
 
   Scenario: Stopping drops the streams
     Given a model engine stand-in with slow steps
-    When 3 runs of 1000 tokens are left to a selector for 30 seconds of silence
-    Then the selector stops, and the engine sees the streams go
+    When 3 runs of 1000 tokens are handed to a selector with a timeout of 30 seconds
+    Then the selector stops, and the engine sees the streams close
 
-  Scenario: A chunked answer isn't left to a selector
-    Of two chunks that came together the second waits in a buffer, where no
-    selector sees it: the stream would hang until more came.
+  Scenario: A chunked answer isn't handed to a selector
+    If two chunks arrive together, the second stays in a user-space buffer that a
+    selector can't see, so the stream would hang until more bytes arrive.
     Given an upstream that answers two chunks in one packet
-    Then the run isn't selectable, and iterating gives both
+    Then the run isn't selectable, and iterating returns both
 
-  Scenario Outline: An answer with a length isn't left to a selector
+  Scenario Outline: An answer with a length isn't handed to a selector
     Its socket is closed with its last byte, and a selector can't wait on that.
     Given an upstream that answers <type> with a length
-    Then the run isn't selectable, and iterating gives it whole
+    Then the run isn't selectable, and iterating returns it completely
 
     Examples:
       | type              |
@@ -48,6 +48,6 @@
 
   Scenario: A run that can't be read doesn't stop the others
     Given a model engine stand-in
-    When a run that is closed already is left to a selector
-    And 10 more runs of 20 tokens are left to it
-    Then the first is broken and the others have their whole answers
+    When a run that is closed already is handed to a selector
+    And 10 more runs of 20 tokens are handed to it
+    Then the first is broken and the others have complete answers
--- a/features/steps/runselector_steps.py
+++ b/features/steps/runselector_steps.py
@@ -22,8 +22,8 @@
 )
 
 
-def leave(context, count, tokens, silence_s=TIMEOUT_S):
-    """Send runs and leave them to the selector, each after its first tokens."""
+def hand_over(context, count, tokens, timeout_s=TIMEOUT_S):
+    """Send runs and hand each to the selector once it is selectable."""
     if not hasattr(context, "selector"):
         context.selector = RunSelector()
         context.add_cleanup(context.selector.stop)
@@ -36,7 +36,7 @@
         for event in run:
             taken.append(event)
             if run.is_selectable:
-                context.selector.add(run, taken.append, timeout_s=silence_s)
+                context.selector.add(run, taken.append, timeout_s=timeout_s)
                 break
 
 
@@ -51,7 +51,7 @@
     wait_until(all_ended, TIMEOUT_S, "every run has ended")
 
 
-def check_whole(context, number):
+def check_complete(context, number):
     taken = context.taken[number]
     assert [type(each) for each in taken].count(UpstreamEnd) == 1, taken
     bodies = [each for each in taken if isinstance(each, UpstreamBody)]
@@ -75,45 +75,45 @@
     context.upstream = ModelUpstream(base_url=babbler.url)
 
 
-@when("a run that is closed already is left to a selector")
-def step_left_closed(context):
-    leave(context, 0, 20)
+@when("a run that is closed already is handed to a selector")
+def step_closed(context):
+    hand_over(context, 0, 20)
     run = context.upstream.run(model_call("closed", PROMPT, 1), timeout_s=TIMEOUT_S)
     list(run)
     context.selector.add(run, context.taken[0].append, timeout_s=TIMEOUT_S)
 
 
-@when("{count:d} run of {tokens:d} tokens is left to a selector")
-@when("{count:d} runs of {tokens:d} tokens are left to a selector")
-@when("{count:d} more runs of {tokens:d} tokens are left to it")
-def step_left(context, count, tokens):
-    leave(context, count, tokens)
+@when("{count:d} run of {tokens:d} tokens is handed to a selector")
+@when("{count:d} runs of {tokens:d} tokens are handed to a selector")
+@when("{count:d} more runs of {tokens:d} tokens are handed to it")
+def step_handed_over(context, count, tokens):
+    hand_over(context, count, tokens)
 
 
 @when(
-    "{count:d} runs of {tokens:d} tokens are left to a selector "
-    "for {silence_s:g} seconds of silence"
+    "{count:d} runs of {tokens:d} tokens are handed to a selector"
+    " with a timeout of {timeout_s:g} seconds"
 )
-def step_left_for(context, count, tokens, silence_s):
-    leave(context, count, tokens, silence_s)
+def step_handed_over_timeout(context, count, tokens, timeout_s):
+    hand_over(context, count, tokens, timeout_s)
 
 
-@then("each of them has its whole answer, ended once")
-def step_each_whole(context):
+@then("each run has its complete answer and ends once")
+def step_each_complete(context):
     wait_ended(context)
     for number in context.taken:
-        check_whole(context, number)
+        check_complete(context, number)
 
 
-@then("the first is broken and the others have their whole answers")
+@then("the first is broken and the others have complete answers")
 def step_first_broken(context):
     wait_ended(context)
     assert isinstance(context.taken[0][-1], UpstreamBroken)
     for number in range(1, len(context.taken)):
-        check_whole(context, number)
+        check_complete(context, number)
 
 
-@then("each of them is told of the silence once")
+@then("each run is reported as silent once")
 def step_silence(context):
     wait_ended(context)
     for taken in context.taken.values():
@@ -121,14 +121,14 @@
         assert [each.detail for each in endings] == ["silent for too long"], endings
 
 
-@then("the selector stops, and the engine sees the streams go")
+@then("the selector stops, and the engine sees the streams close")
 def step_stops(context):
     context.selector.stop()
 
     def unread():
         return context.engine.counts()["tokens_unread"] > len(context.taken)
 
-    wait_until(unread, TIMEOUT_S, "tokens that nobody reads")
+    wait_until(unread, TIMEOUT_S, "tokens are unread")
     assert not any(ended(taken) for taken in context.taken.values())
 
 
@@ -143,11 +143,11 @@
     return bodies
 
 
-@then("the run isn't selectable, and iterating gives both")
+@then("the run isn't selectable, and iterating returns both")
 def step_not_selectable(context):
     assert [body.event_id for body in iterated(context)] == [0, 1]
 
 
-@then("the run isn't selectable, and iterating gives it whole")
-def step_length_whole(context):
+@then("the run isn't selectable, and iterating returns it completely")
+def step_length_complete(context):
     assert b"".join(body.body for body in iterated(context))[-8:] == b"[DONE]\n\n"
--- a/lavenderspoke/dispatching.py
+++ b/lavenderspoke/dispatching.py
@@ -1,10 +1,10 @@
-"""How waiting requests reach agents: they are pulled, or, to compare, pushed.
+"""How waiting requests reach agents: pulled by them, or pushed by the entry.
 
-Pulling is what the system does. The two ways of pushing are the usual
-alternatives, kept so that each measurement runs beside them: an entry sends
-each request at once to the agent whose last report shows the least load, or to
-the better of two picked at random. Reports lag and engines are unlike, which is
-what pulling does without.
+Pulling is the default. The two push policies exist to be benchmarked against
+it: the entry sends each request at once to the agent whose last announcement
+reports the fewest running requests, or to the better of two random agents.
+Pushing suffers from late announcements and engines of different speeds; pulling
+doesn't.
 """
 
 import enum
@@ -15,9 +15,9 @@
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import DEFAULT_QUEUE_POLICY, QueuePolicy
 
-# A pushed grant rests on no pull; its nonce says so.
+# Marks the nonce of a pushed grant, which answers no pull.
 PUSHED_NONCE_PREFIX = "pushed:"
-CHOICES = 2
+SAMPLED_AGENTS = 2
 
 
 class Dispatching(enum.Enum):
@@ -30,10 +30,10 @@
 
 @attrs.frozen(kw_only=True)
 class EntryPolicy:
-    """The rules of an entry that measurements turn off or exchange.
+    """The rules of an entry that benchmarks turn off or replace.
 
-    `service_wide_shedding` has an entry wait for its peers to drop what is
-    lower before it sheds; without it each entry sheds for itself.
+    With `service_wide_shedding` an entry sheds a tier only after its peers have
+    dropped lower tiers; without it each entry sheds on its own.
     """
 
     queue: QueuePolicy = DEFAULT_QUEUE_POLICY
@@ -44,8 +44,8 @@
 def choose_agent(
     dispatching: Dispatching, agents: list[AgentView], random: Random
 ) -> AgentView | None:
-    """Return the agent that a request is pushed to, by what was last reported."""
+    """Return the agent to push a request to, by the last announcements, or None."""
     candidates = [view for view in agents if view.accepts_work]
-    if dispatching is Dispatching.TWO_CHOICES and len(candidates) > CHOICES:
-        candidates = random.sample(candidates, CHOICES)
+    if dispatching is Dispatching.TWO_CHOICES and len(candidates) > SAMPLED_AGENTS:
+        candidates = random.sample(candidates, SAMPLED_AGENTS)
     return min(candidates, key=lambda view: view.announce.running, default=None)
--- a/lavenderspoke/duequeue.py
+++ b/lavenderspoke/duequeue.py
@@ -1,4 +1,4 @@
-"""Which requests must be looked at, and when."""
+"""A queue of requests by the time at which they must be checked next."""
 
 import heapq
 
@@ -7,28 +7,28 @@
 
 @attrs.define(kw_only=True)
 class DueQueue:
-    """A watchlist names each request once, by the time it is next due.
+    """A priority queue of request ids by due time, each id at most once.
 
-    >>> watchlist = DueQueue()
-    >>> watchlist.add("r1", due_s=2.0)
-    >>> watchlist.add("r1", due_s=1.0)
-    >>> watchlist.pop_due(1.5), watchlist.pop_due(2.0)
+    >>> queue = DueQueue()
+    >>> queue.add("r1", due_s=2.0)
+    >>> queue.add("r1", due_s=1.0)
+    >>> queue.pop_due(1.5), queue.pop_due(2.0)
     ([], ['r1'])
     """
 
     _heap: list[tuple[float, str]] = attrs.field(factory=list)
-    _watched: set[str] = attrs.field(factory=set)
+    _queued: set[str] = attrs.field(factory=set)
 
     def add(self, request_id: str, due_s: float) -> None:
-        """Watch a request that isn't watched yet."""
-        if request_id not in self._watched:
-            self._watched.add(request_id)
+        """Add a request; one that is queued already keeps its due time."""
+        if request_id not in self._queued:
+            self._queued.add(request_id)
             heapq.heappush(self._heap, (due_s, request_id))
 
     def pop_due(self, now_s: float) -> list[str]:
-        """Return the requests that are due; they are watched no more."""
-        found = []
+        """Remove and return the requests that are due."""
+        due = []
         while self._heap and self._heap[0][0] <= now_s:
-            found.append(heapq.heappop(self._heap)[1])
-        self._watched.difference_update(found)
-        return found
+            due.append(heapq.heappop(self._heap)[1])
+        self._queued.difference_update(due)
+        return due
--- a/lavenderspoke/reassembly.py
+++ b/lavenderspoke/reassembly.py
@@ -1,4 +1,4 @@
-"""An answer put together from numbered pieces, whatever order they come in."""
+"""Reassembles an answer from numbered pieces that may arrive out of order."""
 
 import attrs
 
@@ -7,39 +7,39 @@
 
 @attrs.define(kw_only=True)
 class ReassemblyBuffer:
-    """An assembly passes pieces on in order, each once.
+    """Buffers out-of-order pieces and releases each piece once, in order.
 
-    >>> whole = ReassemblyBuffer()
+    >>> buffer = ReassemblyBuffer()
     >>> second = Piece(request_id="r", number=1, body=b"b")
-    >>> whole.add(second), whole.has_gap
+    >>> buffer.add(second), buffer.has_gap
     ([], True)
-    >>> [piece.body for piece in whole.add(Piece(request_id="r", number=0))]
+    >>> [piece.body for piece in buffer.add(Piece(request_id="r", number=0))]
     [b'', b'b']
     """
 
     next_number: int = 0
-    _held: dict[int, Piece] = attrs.field(factory=dict)
+    _buffered: dict[int, Piece] = attrs.field(factory=dict)
 
     @property
     def has_gap(self) -> bool:
-        """Whether a later piece is here and an earlier one is missing."""
-        return bool(self._held)
+        """Whether a piece is buffered while an earlier one is missing."""
+        return bool(self._buffered)
 
     def add(self, piece: Piece) -> list[Piece]:
-        """Take a piece; return those that are now next, in order."""
-        # A doubled or replayed piece must not reach the caller twice.
+        """Add a piece; return the pieces that are now next, in order."""
+        # A duplicate or replayed piece must not reach the caller twice.
         if piece.number >= self.next_number:
-            self._held[piece.number] = piece
+            self._buffered[piece.number] = piece
         ready = []
-        while self.next_number in self._held:
-            ready.append(self._held.pop(self.next_number))
+        while self.next_number in self._buffered:
+            ready.append(self._buffered.pop(self.next_number))
             self.next_number += 1
         return ready
 
 
 def is_complete(last: Piece) -> bool:
-    """Return whether a last piece's count agrees with its place.
+    """Return whether the last piece's count matches its number.
 
-    A clean end with a wrong count would pass a cut answer off as a whole one.
+    With a wrong count the answer is truncated, although it ended cleanly.
     """
     return last.count == last.number + 1
