--- a/features/steps/platform_words_steps.py
+++ b/features/steps/platform_words_steps.py
@@ -57,15 +57,15 @@
 # Modules of direct dispatch that decide, and what they must not import.
 DECISIONS = (
     "catalog",
+    "decoderate",
     "health",
     "pool",
+    "prefillrate",
     "quota",
     "rankrates",
-    "reading",
     "scheduler",
     "sharing",
     "usage",
-    "writing",
 )
 SHELLS = {"socket", "threading", "time", "urllib3", "cheroot", "pynng", "http"}
 
