--- a/features/direct_drain.feature
+++ b/features/direct_drain.feature
@@ -1,8 +1,8 @@
-Feature: The rest of an upstream's refusal
-  Its body is read, so that its connection can be kept, as long as that costs nothing.
+Feature: The body of an upstream's refusal
+  It is read so that the connection can be reused, but not waited for.
 
   Scenario: A refusal's body stalls
-    Guards against a request that is held until its deadline by an upstream's refusal.
-    Given a request at an upstream whose refusal stalls, and another one with a place
-    When it has its first answer
-    Then that is the other upstream's stream, and the first attempt ended as "not_run"
+    Guards against a request that waits until its deadline for the body of a refusal.
+    Given a request at an upstream whose refusal stalls, and another one with a free slot
+    When it gets its response
+    Then it is the other upstream's stream, and the first attempt ended as "not_run"
--- a/features/platform_entry.feature
+++ b/features/platform_entry.feature
@@ -131,7 +131,7 @@
     while: callers find nobody there until the next start.
     Given a platform with an entry, two model upstreams and two desk upstreams
     When the entry is started again, and gets SIGHUP during its imports
-    Then it lives, is ready and serves
+    Then it is alive, ready and serving
 
   Scenario: An entry is stopped while it still starts
     Its port takes connections before the rest is loaded. The signal would end the
--- a/features/refused_resources.feature
+++ b/features/refused_resources.feature
@@ -1,40 +1,40 @@
-Feature: What ends an entry that the system lets down
+Feature: An entry under native crashes and refused resources
   Crashes in native code, and threads and memory that the system refuses.
 
-  Scenario: A native crash says where it was
-    An entry ended by a signal of its own left nothing that tells where it died.
+  Scenario: A native crash leaves a stack trace
+    Guards against an entry that dies by a signal without a trace of where.
     Given a platform with an entry, two model upstreams and two desk upstreams
     When the entry gets SIGILL
     Then it ends by that signal, and standard error has the stack of its thread
 
   Scenario: An entry starts without standard error
-    Turning the crash text on raises without a place for it, and ended the start.
+    Guards against a start that fails because crash traces cannot be enabled.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is started again with standard error closed
-    Then it lives, is ready and serves
+    When the entry is restarted with standard error closed
+    Then it is alive, ready and serving
 
   Scenario: The system refuses the threads of the link to the other entries
-    An entry that serves and streams ended, with all that it streamed, for its link.
+    Guards against an entry that exits, and breaks off its streams, because of its link.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is started again where the link's library gets no thread
-    Then streams through it come whole until the link was tried 8 times
-    And it lives, and its log says the cause once
+    When the entry is restarted where the link's library gets no thread
+    Then streams through it are complete until the link has failed 8 times
+    And it is alive, and its log names the cause once
 
   Scenario: The system refuses most threads of an entry that starts
-    It stayed with its port open, said that it was ready, and served nobody.
+    Guards against an entry that listens and reports ready, but serves no requests.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And model upstreams that send an event every 200 ms
-    When the entry is started again with 24 threads granted
-    Then it lives, is ready and serves
-    And its log says once that threads were refused
-    When 1000 threads more are granted, and 8 streams are asked for
-    Then all of them come whole
+    When the entry is restarted with 24 threads granted
+    Then it is alive, ready and serving
+    And its log says once that a thread was refused
+    When 1000 more threads are granted, and 8 streams are requested
+    Then all of them are complete
 
   Scenario Outline: The system refuses threads that an entry can't do without
-    Its servers' threads kept the process from ending, and its port from the next.
+    Guards against server threads that keep the process alive and its port in use.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is started again with <count> threads granted
-    Then it ends with status 1, and its log says the refusal
+    When the entry is restarted with <count> threads granted
+    Then it exits with status 1, and its log names the refusal
 
     Examples:
       | count |
@@ -43,15 +43,15 @@
       | 13    |
 
   Scenario: The system refuses a thread when the entry is told to stop
-    The stop was lost with its thread, and the streams with the main one.
+    Guards against a stop that is lost with its thread, and streams that break off.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And model upstreams that send an event every 200 ms
-    And the entry was started again, and gets no more threads from here on
+    And the entry was restarted, and gets no more threads from now on
     When the entry gets SIGTERM while 4 streams run
     Then all streams come whole and it ends by itself within 8 s
 
   Scenario Outline: The system refuses a thread of the link to the other entries
-    What had been opened stayed open, so that the next try found its address taken.
+    Guards against sockets left open, so that the next start finds the address in use.
     Given a link to the other entries whose thread <number> is refused
     When it fails to start
     Then another one starts on its address
--- a/features/steps/direct_drain_steps.py
+++ b/features/steps/direct_drain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the rest of an upstream's refusal."""
+"""Steps about the body of an upstream's refusal."""
 
 from behave import given, then, when
 
@@ -15,7 +15,9 @@
 from lavenderspoke.direct.dispatcher import AttemptOutcome, StreamResponse
 
 
-@given("a request at an upstream whose refusal stalls, and another one with a place")
+@given(
+    "a request at an upstream whose refusal stalls, and another one with a free slot"
+)
 def step_stalls(context):
     refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nhalf"
     stream = STREAM_HEAD + chunk(0) + STREAM_END
@@ -24,19 +26,17 @@
         for name, part in (("refusing", refusal), ("other", stream))
     ]
     context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
-    # It mustn't run twice, so an upstream that has it is waited for to the end.
+    # It must not run twice, so an upstream that runs it is awaited to the end.
     accepted = accepted_request(resumable=False, attempts_max=2)
     context.handling = handling_of(accepted, context.dispatcher)
 
 
-@when("it has its first answer")
+@when("it gets its response")
 def step_first(context):
     context.answer = context.handling.handle()
 
 
-@then(
-    "that is the other upstream's stream, and the first attempt ended as " '"{outcome}"'
-)
+@then('it is the other upstream\'s stream, and the first attempt ended as "{outcome}"')
 def step_other_stream(context, outcome):
     assert isinstance(context.answer, StreamResponse), context.answer
     assert b"".join(context.answer.chunks) == b"id: 0\ndata: a\n\n"
--- a/features/steps/direct_exchange_steps.py
+++ b/features/steps/direct_exchange_steps.py
@@ -1,4 +1,4 @@
-"""Steps about exchanges with upstreams that are faulty byte by byte."""
+"""Steps about responses of upstreams that send faulty bytes."""
 
 import socket
 import struct
@@ -18,15 +18,15 @@
 from standins.processes import HOST, free_port
 
 HEAD_TIMEOUT_S = 0.6
-# More than the buffers of an upstream hold that takes nothing.
-STUCK_BODY_BYTES = 100_000
-STUCK_BUFFER_BYTES = 2048
-# Longer than the kernel takes to give a connection up.
-GIVEN_UP_WITHIN_S = 10.0
+# More than the socket buffers hold if the upstream reads nothing.
+STALLED_BODY_BYTES = 100_000
+STALLED_BUFFER_BYTES = 2048
+# Longer than the kernel takes to time out a connection.
+CONNECTION_TIMEOUT_MAX_S = 10.0
 
 
 class RawUpstream:
-    """Sends the same bytes for each request it reads."""
+    """Sends the same bytes for each request that it reads."""
 
     def __init__(self, *, answer: bytes, then: str, buffer_bytes: int | None = None):
         self.connections = 0
@@ -64,12 +64,12 @@
                     return
 
 
-class StuckUpstream(RawUpstream):
-    """Answers a request of which it has read the beginning, and reads no more."""
+class StalledUpstream(RawUpstream):
+    """Responds after reading the start of a request, and reads no more."""
 
     def __init__(self, *, answer: bytes):
         self._over = threading.Event()
-        super().__init__(answer=answer, then="keeps", buffer_bytes=STUCK_BUFFER_BYTES)
+        super().__init__(answer=answer, then="keeps", buffer_bytes=STALLED_BUFFER_BYTES)
 
     def close(self) -> None:
         self._over.set()
@@ -99,16 +99,16 @@
         error = sent.err_value
         if isinstance(error, NotSent):
             return "not sent"
-        return "unanswered for so long" if error.timed_out else "unanswered"
+        return "timed out" if error.timed_out else "no response"
     exchange = sent.ok_value
     try:
         body = exchange.read_all(time.monotonic() + within_s, SystemClock())
     except IncompleteResponse as error:
         exchange.close(keep=False)
-        return "cut, silent" if error.timed_out else "cut"
+        return "incomplete, timed out" if error.timed_out else "incomplete"
     exchange.close(keep=True)
     assert body == b"whole", body
-    return "whole"
+    return "complete"
 
 
 @given('an upstream that sends "{text}" and then "{then}"')
@@ -127,8 +127,8 @@
     step_upstream(context, "", then)
 
 
-@given("a port where nobody listens")
-def step_nobody(context):
+@given("a port on which nothing listens")
+def step_no_listener(context):
     context.connections = ConnectionPool(
         host=HOST, port=free_port(), clock=SystemClock()
     )
@@ -144,8 +144,8 @@
     context.outcomes = [outcome(send(context)), outcome(send(context))]
 
 
-@when("a request is sent to it and given up after {ms:d} ms")
-def step_given_up(context, ms):
+@when("a request is sent to it and cancelled after {ms:d} ms")
+def step_cancelled(context, ms):
     handle = RequestHandle()
     timer = threading.Timer(ms / 1000, handle.cancel)
     timer.start()
@@ -155,56 +155,56 @@
     timer.join()
 
 
-@when("a request is answered and given up afterwards")
-def step_given_up_late(context):
+@when("a request is completed and cancelled afterwards")
+def step_cancelled_late(context):
     handle = RequestHandle()
-    assert outcome(send(context, handle)) == "whole"
+    assert outcome(send(context, handle)) == "complete"
     handle.detach()
     second = send(context)
     handle.cancel()
     context.outcomes = [outcome(second)]
 
 
-@given('an upstream that sends "{text}" and takes nothing more')
-def step_stuck(context, text):
+@given('an upstream that sends "{text}" and reads nothing more')
+def step_stalled(context, text):
     answer = text.encode().decode("unicode_escape").encode("latin-1")
-    context.raw = StuckUpstream(answer=answer)
+    context.raw = StalledUpstream(answer=answer)
     context.add_cleanup(context.raw.close)
     context.connections = ConnectionPool(
         host=HOST, port=context.raw.port, clock=SystemClock()
     )
 
 
-@given('an upstream that sends "" and takes nothing more')
-def step_silent_stuck(context):
-    step_stuck(context, "")
+@given('an upstream that sends "" and reads nothing more')
+def step_silent_stalled(context):
+    step_stalled(context, "")
 
 
-@when("a long request is sent to it, and its silences may last")
-def step_send_patiently(context):
-    context.asked = 0
+@when("a long request with extensible read timeouts is sent to it")
+def step_send_extensible(context):
+    context.read_timeouts = 0
 
     def on_read_timeout() -> float:
-        context.asked += 1
-        return GIVEN_UP_WITHIN_S
+        context.read_timeouts += 1
+        return CONNECTION_TIMEOUT_MAX_S
 
     sent = context.connections.send(
         handle=RequestHandle(),
         method="POST",
         target="/",
         headers={"Host": "test"},
-        body=bytes(STUCK_BODY_BYTES),
-        head_timeout_s=GIVEN_UP_WITHIN_S,
+        body=bytes(STALLED_BODY_BYTES),
+        head_timeout_s=CONNECTION_TIMEOUT_MAX_S,
         on_read_timeout=on_read_timeout,
     )
-    context.outcomes = [outcome(sent, GIVEN_UP_WITHIN_S)]
+    context.outcomes = [outcome(sent, CONNECTION_TIMEOUT_MAX_S)]
 
 
-@then('its outcome is "{wanted}", and no silence was asked about')
-def step_outcome_without_silence(context, wanted):
-    assert (context.outcomes, context.asked) == ([wanted], 0), (
+@then('its outcome is "{wanted}", and no read timed out before')
+def step_outcome_without_timeout(context, wanted):
+    assert (context.outcomes, context.read_timeouts) == ([wanted], 0), (
         context.outcomes,
-        context.asked,
+        context.read_timeouts,
     )
 
 
@@ -228,11 +228,11 @@
 @then("the upstream saw {count:d} connection")
 @then("the upstream saw {count:d} connections")
 def step_connections(context, count):
-    assert context.outcomes == ["whole", "whole"], context.outcomes
+    assert context.outcomes == ["complete", "complete"], context.outcomes
     assert context.raw.connections == count, context.raw.connections
 
 
-@then("the next request on its connection comes whole")
-def step_next_whole(context):
-    assert context.outcomes == ["whole"], context.outcomes
+@then("the next request on its connection is complete")
+def step_next_complete(context):
+    assert context.outcomes == ["complete"], context.outcomes
     assert context.raw.connections == 1
--- a/features/steps/platform_stop_steps.py
+++ b/features/steps/platform_stop_steps.py
@@ -72,7 +72,7 @@
     os.kill(process.pid, signal.SIGHUP)
 
 
-@then("it lives, is ready and serves")
+@then("it is alive, ready and serving")
 def step_lives(context):
     entry = context.platform.entries["entry-1"]
     wait_until(lambda: entry.ready() or not entry.process.alive(), WAIT_S, "ready")
--- a/features/steps/refused_resources_steps.py
+++ b/features/steps/refused_resources_steps.py
@@ -1,4 +1,4 @@
-"""Steps about native crashes, and about threads and memory that are refused."""
+"""Steps about native crashes, and about refused threads and memory."""
 
 import itertools
 import os
@@ -19,10 +19,10 @@
 from standins.platformdeployment import WAIT_S
 from standins.processes import HOST, free_port, wait_until
 
-# An entry that has started has more.
+# A started entry has more.
 THREADS_ALL = 120
-# A library's own threads take the system's stack, which is all of the address space
-# here; the entry's have a small one.
+# A library's own threads get the system's stack size, which here is all of the address
+# space; the entry's threads have a small stack.
 SPACE_BYTES = 4 * 1024**3
 NO_NATIVE_THREADS = (
     "MALLOC_ARENA_MAX=1",
@@ -55,14 +55,14 @@
         assert line in output, output
 
 
-@when("the entry is started again with standard error closed")
+@when("the entry is restarted with standard error closed")
 def step_no_stderr(context):
     platform = context.platform
     platform.entries["entry-1"].process.kill()
     platform.start_again("entry-1", before=("sh", "-c", 'exec "$@" 2>&-', "sh"))
 
 
-@when("the entry is started again where the link's library gets no thread")
+@when("the entry is restarted where the link's library gets no thread")
 def step_no_link_threads(context):
     platform = context.platform
     platform.entries["entry-1"].process.kill()
@@ -70,7 +70,7 @@
     wait_until(context.entry.ready, WAIT_S, "ready without a link")
 
 
-@then("streams through it come whole until the link was tried {count:d} times")
+@then("streams through it are complete until the link has failed {count:d} times")
 def step_streams_without_link(context, count):
     process = context.entry.process
     give_up_s = time.monotonic() + 2 * WAIT_S
@@ -81,7 +81,7 @@
         assert time.monotonic() < give_up_s, process.output()
 
 
-@then("it lives, and its log says the cause once")
+@then("it is alive, and its log names the cause once")
 def step_cause_once(context):
     process = context.entry.process
     assert process.alive(), process.output()
@@ -90,37 +90,37 @@
 
 
 def start_with_threads(context, count: int) -> None:
-    """Start the entry again with so many threads granted."""
+    """Restart the entry with `count` threads granted."""
     platform = context.platform
     platform.entries["entry-1"].process.kill()
     context.threads = platform.stage.directory / "threads"
     context.threads.write_text(str(count))
-    words = (sys.executable, "-m", "standins.fewthreads", str(context.threads))
-    context.entry = platform.start_again("entry-1", before=words)
+    command = (sys.executable, "-m", "standins.fewthreads", str(context.threads))
+    context.entry = platform.start_again("entry-1", before=command)
 
 
-@when("the entry is started again with {count:d} threads granted")
+@when("the entry is restarted with {count:d} threads granted")
 def step_few_threads(context, count):
     start_with_threads(context, count)
 
 
-@given("the entry was started again, and gets no more threads from here on")
+@given("the entry was restarted, and gets no more threads from now on")
 def step_no_more_threads(context):
     start_with_threads(context, 1000)
     wait_until(context.entry.ready, WAIT_S, "ready")
-    # Served without a run: its threads are there.
+    # Served without an upstream, so its threads have started.
     assert context.platform.send("entry-1", "/no-route").status == 404
     context.threads.write_text("0")
 
 
-@then("its log says once that threads were refused")
+@then("its log says once that a thread was refused")
 def step_refused_once(context):
     output = context.entry.process.output()
     lines = [each for each in output.splitlines() if '"threads refused"' in each]
     assert len(lines) == 1 and "can't start new thread" in lines[0], output
 
 
-@when("{count:d} threads more are granted, and {streams:d} streams are asked for")
+@when("{count:d} more threads are granted, and {streams:d} streams are requested")
 def step_more_threads(context, count, streams):
     platform = context.platform
     context.threads.write_text(str(int(context.threads.read_text()) + count))
@@ -132,14 +132,14 @@
     context.answers = [each.result() for each in sent]
 
 
-@then("all of them come whole")
+@then("all of them are complete")
 def step_all_come(context):
     for answer in context.answers:
         output = context.entry.process.output()
         assert answer.whole and answer.body == expected_stream(10), (answer, output)
 
 
-@then("it ends with status 1, and its log says the refusal")
+@then("it exits with status 1, and its log names the refusal")
 def step_ends_refused(context):
     process = context.entry.process
     assert process.wait(WAIT_S) == 1, process.output()
@@ -147,7 +147,7 @@
 
 
 def make_link(port: int) -> Gossip:
-    """Return a link to the other entries that has nothing to tell."""
+    """Return a link to the other entries that has nothing to send."""
     return Gossip(
         me=InstanceId(name="entry-1", incarnation="a1"),
         listen=Address(host=HOST, port=port),
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that start again, and about records of other writers."""
+"""Steps about upstreams that restart, and about records of other writers."""
 
 import json
 import threading
@@ -52,8 +52,8 @@
     return KeyedRecord(key=key, value=content, offset=offset)
 
 
-def tell(context, born: int) -> None:
-    """Have the entry read the upstream's record of that start."""
+def read_record_of(context, born: int) -> None:
+    """Have the entry read the upstream's record of that incarnation."""
     context.offset += 1
     content = value(port=context.raw.port, host=HOST, born=born)
     context.registry.apply((record("u", context.offset, content),), 0.0)
@@ -65,12 +65,12 @@
     return listed
 
 
-def seat(context):
+def upstream_state(context):
     line = context.dispatcher._scheduler.queue(SERVICE)
     return line.pool.state_of(upstream(context).upstream_id)
 
 
-@given('an entry that knows upstream "u" since start {born:d}')
+@given('an entry that knows incarnation {born:d} of upstream "u"')
 def step_entry(context, born):
     context.clock = ManualClock()
     context.offset = 0
@@ -85,32 +85,32 @@
         random=Random(1),
         metrics=Metrics(),
     )
-    tell(context, born)
+    read_record_of(context, born)
 
 
 @given("it is slow, has failed, and one request runs there")
 def step_learned(context):
     context.before = upstream(context)
-    seat(context).health.record_step(0.9)
-    seat(context).health.record_unreachable(0.0)
-    seat(context).own_requests["r"] = 100
+    upstream_state(context).health.record_step(0.9)
+    upstream_state(context).health.record_unreachable(0.0)
+    upstream_state(context).own_requests["r"] = 100
 
 
-@when("the upstream's record tells of start {born:d}")
+@when("the upstream's record names incarnation {born:d}")
 def step_again(context, born):
-    tell(context, born)
+    read_record_of(context, born)
 
 
-@then("the upstream has all its places, no pace and no failure")
+@then("the upstream has all its slots free, and no measured step or failure")
 def step_forgotten(context):
-    fresh = seat(context)
+    fresh = upstream_state(context)
     assert fresh.free_slots() == 4
     assert fresh.health.step_s is None
     assert fresh.health.failure_share == 0.0
     assert fresh.health.usable(0, 0.0)
 
 
-@then("a request that was at the start before may be sent there")
+@then("a request that was at the previous incarnation may be sent there")
 def step_may_be_sent(context):
     demand = Requirements(
         prompt_tokens=1,
@@ -124,7 +124,7 @@
     assert choice.upstream_state.upstream == upstream(context)
 
 
-@given("a request waits for an answer there")
+@given("a request waits for a response there")
 def step_waits(context):
     context.sent = []
     pool = context.dispatcher.connection_pool(upstream(context))
@@ -155,13 +155,13 @@
     assert isinstance(sent, Err) and not sent.err_value.timed_out, sent
 
 
-@when('content "{content}" breaks there, and the record tells of start {born:d}')
+@when('content "{content}" breaks there, and the record names incarnation {born:d}')
 def step_crash(context, content, born):
     crashes = context.dispatcher._verdicts.crashes
     crashes.record_broken_answer(
         upstream(context).upstream_id, content, context.clock.monotonic_s()
     )
-    tell(context, born)
+    read_record_of(context, born)
     context.clock.advance(RESTART_SETTLED_S + 0.1)
     context.dispatcher.tick()
 
@@ -172,52 +172,52 @@
     assert context.dispatcher._verdicts.crashes.is_quarantined(SERVICE, content, now_s)
 
 
-def starts(registry: Registry) -> list[str]:
+def upstream_ids(registry: Registry) -> list[str]:
     return [each.upstream_id for each in registry.upstreams(0.0)]
 
 
-@then("an earlier start's record changes nothing")
+@then("an earlier incarnation's record changes nothing")
 def step_late(context):
     registry = context.registry = Registry()
     registry.apply((record("a", 1, value(born=2000)),), 0.0)
     registry.apply((record("a", 2, value(born=1000)),), 0.0)
-    assert starts(registry) == ["a@2000"]
+    assert upstream_ids(registry) == ["a@2000"]
     registry.apply((record("a", 3, value(born=2000)),), 0.0)
     registry.apply((record("a", 4, value(born=1000)),), 0.0)
-    assert starts(registry) == ["a@2000"]
+    assert upstream_ids(registry) == ["a@2000"]
 
 
-@then("the same start's second record is believed, since a clock may go back")
+@then("a second record of that incarnation is accepted, since a clock may go back")
 def step_second(context):
     context.registry.apply((record("a", 5, value(born=1000)),), 0.0)
-    assert starts(context.registry) == ["a@1000"]
+    assert upstream_ids(context.registry) == ["a@1000"]
 
 
-@then("none of these names an upstream, and the others stay")
+@then("none of these adds an upstream, and the others stay")
 def step_foreign(context):
     for row in context.table:
         registry = Registry()
         content = row["record"].encode()
         registry.apply((record("a", 1, value()), record("b", 2, content)), 0.0)
-        assert starts(registry) == ["a"], row["record"]
+        assert upstream_ids(registry) == ["a"], row["record"]
 
 
-@then("a state that nobody knows gets no requests")
+@then("an upstream in an unknown state gets no requests")
 def step_state(context):
     registry = Registry()
     registry.apply((record("a", 1, value(state="resting")),), 0.0)
     assert all(each.leaving for each in registry.upstreams(0.0))
 
 
-@then("bytes that nest too deep name no upstream")
+@then("JSON that is nested too deeply adds no upstream")
 def step_deep(context):
     registry = Registry()
     deep = b"[" * 200_000
     registry.apply((record("b", 1, deep), record("a", 2, value())), 0.0)
-    assert starts(registry) == ["a"]
+    assert upstream_ids(registry) == ["a"]
 
 
-@then("a writer that repeats itself is logged once and counted each time")
+@then("repeated bad records are logged once and counted each time")
 def step_repeated(context):
     reasons = []
     registry = Registry(on_skipped=reasons.append)
@@ -264,7 +264,9 @@
     ]
 
 
-@then("no bytes given as an upstream's, an entry's or a peer's message raise")
+@then(
+    "no bytes in an upstream's or entry's record or a peer's message raise an exception"
+)
 def step_fuzz(context):
     targets = feeds()
     keys = strategies.sampled_from(["a", "config", "rollout/a"])
--- a/features/upstream_restarts.feature
+++ b/features/upstream_restarts.feature
@@ -1,40 +1,40 @@
-Feature: Upstreams that start again under their names, and records of other writers
-  What was learned of one start of an upstream says nothing of the next, and what
-  others write among the upstreams' records names nothing to send to.
+Feature: Upstreams that restart under their names, and records of other writers
+  What was learned of one incarnation of an upstream doesn't apply to the next, and
+  records of other writers among those of the upstreams add none.
 
-  Scenario: Nothing that was learned of the start before is believed of the next
-    An engine was slow and failed, and was left alone. It crashes and starts again under
-    its name at the same address; callers wait for nothing if it is used at once.
-    Given an entry that knows upstream "u" since start 1000
+  Scenario: A new incarnation starts without the history of the previous one
+    A slow and failing engine was suspended. It crashes and restarts under its name at
+    the same address, and must be used at once.
+    Given an entry that knows incarnation 1000 of upstream "u"
     And it is slow, has failed, and one request runs there
-    When the upstream's record tells of start 2000
-    Then the upstream has all its places, no pace and no failure
-    And a request that was at the start before may be sent there
+    When the upstream's record names incarnation 2000
+    Then the upstream has all its slots free, and no measured step or failure
+    And a request that was at the previous incarnation may be sent there
 
-  Scenario: What still waits for the start before is broken off
-    A cut hides the crash: nothing resets the connection, and the caller of a stream
-    would wait for the rest until the connection counts as dead, seconds later.
-    Given an entry that knows upstream "u" since start 1000
-    And a request waits for an answer there
-    When the upstream's record tells of start 2000
+  Scenario: Requests at the previous incarnation are aborted
+    A network partition hides the crash: nothing resets the connection, and a stream's
+    caller would wait seconds until the connection times out.
+    Given an entry that knows incarnation 1000 of upstream "u"
+    And a request waits for a response there
+    When the upstream's record names incarnation 2000
     Then the request ends as broken within 1 s
 
   Scenario: Two crashes under one name are two crashes
-    The same content breaks both starts of one upstream. Counted as one crash, it would
-    crash a third upstream before it is refused.
-    Given an entry that knows upstream "u" since start 1000
-    When content "culprit" breaks there, and the record tells of start 2000
-    And content "culprit" breaks there, and the record tells of start 3000
+    The same content crashes two incarnations of one upstream. If they were counted as
+    one crash, it would crash a third upstream before it is refused.
+    Given an entry that knows incarnation 1000 of upstream "u"
+    When content "culprit" breaks there, and the record names incarnation 2000
+    And content "culprit" breaks there, and the record names incarnation 3000
     Then content "culprit" is refused
 
-  Scenario: A record of an earlier start is written late
-    The engine's last record before its crash reaches the store after the first of its
-    new start. Taken for another start, it would break off all that runs there.
-    Then an earlier start's record changes nothing
-    And the same start's second record is believed, since a clock may go back
+  Scenario: A record of an earlier incarnation is written late
+    An engine's last record before its crash reaches the store after the first one of
+    its new incarnation. Taken for another restart, it would abort all requests there.
+    Then an earlier incarnation's record changes nothing
+    And a second record of that incarnation is accepted, since a clock may go back
 
   Scenario: Records of another writer
-    Then none of these names an upstream, and the others stay
+    Then none of these adds an upstream, and the others stay
       | record                                                                              |
       | []                                                                                  |
       | 7                                                                                   |
@@ -61,9 +61,9 @@
       | {"service":"s","address":":80","zone":"z","slots":4,"state":"ready"}                |
       | {"service":"s","address":"10.0.0.9:80","zone":"z","slots":4,"state":3}              |
       | {"service":"s","address":"10.0.0.9:80","zone":"z","slots":4,"state":"ready","born":"x"} |
-    And a state that nobody knows gets no requests
-    And bytes that nest too deep name no upstream
-    And a writer that repeats itself is logged once and counted each time
+    And an upstream in an unknown state gets no requests
+    And JSON that is nested too deeply adds no upstream
+    And repeated bad records are logged once and counted each time
 
-  Scenario: Any bytes and shapes among the records
-    Then no bytes given as an upstream's, an entry's or a peer's message raise
+  Scenario: Arbitrary bytes and JSON among the records
+    Then no bytes in an upstream's or entry's record or a peer's message raise an exception
