--- a/features/direct_handling.feature
+++ b/features/direct_handling.feature
@@ -21,8 +21,8 @@
 
   Scenario: An upstream pauses during a stream, and no other has a free slot
     Guards against a stream that breaks off although its upstream would have continued.
-    The engine prefills a long prompt or has preempted the stream for lack of memory, and
-    is silent for 1.9 s. The request must stay there until another engine has a slot.
+    The engine prefills a long prompt or has preempted the stream for lack of memory, so
+    it is silent for 1.9 s. The request must stay until another engine has a slot.
     Given a resumable request at an upstream that pauses for 1.9 s after its first event
     And no other upstream has a free slot
     When its stream is read to the end
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -71,9 +71,9 @@
 class DirectApp:
     """The application; cheroot calls it on many threads.
 
-    While `draining` it closes each connection after its response, so that callers
-    reconnect elsewhere. While `refusing` it accepts no more requests, since a long one
-    could not be finished.
+    While `draining` it closes connections after a response, so that callers reconnect
+    elsewhere. While `refusing` it accepts no requests, since a long one could not be
+    finished.
     """
 
     def __init__(
--- a/lavenderspoke/direct/clusterview.py
+++ b/lavenderspoke/direct/clusterview.py
@@ -7,9 +7,8 @@
 # An entry whose last read of the orders is older than this, in seconds, sends nothing
 # to a target, since the roll-out may have been withdrawn.
 ORDERS_AGE_MAX_S = 2.5
-# The share of the known entries that an entry must hear, itself included, to send
-# anything to a target or to advance a roll-out, so that it learns of a bad target when
-# the others do.
+# The share of the known entries that an entry must hear to send anything to a target or
+# to advance a roll-out, so that it learns of a bad target when the others do.
 LIVE_SHARE_MIN = 0.5
 
 
--- a/lavenderspoke/direct/dispatcher.py
+++ b/lavenderspoke/direct/dispatcher.py
@@ -73,7 +73,7 @@
 
 
 class RelocationResult(enum.Enum):
-    """The result of an attempt to move a request away from a silent upstream."""
+    """The result of an attempt to relocate a request."""
 
     FOUND = "found"
     NO_RETRY = "no_retry"
@@ -110,7 +110,7 @@
         """Return the connection pool of an upstream."""
 
     def take_retry(self, service: str) -> bool:
-        """Take a retry from the service's budget; return False if it is used up."""
+        """Take a retry from the service's budget; return False if none is left."""
 
     def return_retry(self, service: str) -> None:
         """Return a retry that was taken and not used."""
@@ -119,7 +119,7 @@
         """Count the result of an attempt to relocate a request."""
 
     def stream_completed(self, ticket: Ticket, steps: int) -> None:
-        """Record how many steps a complete stream took, its first event included."""
+        """Record the steps of a complete stream, its first event included."""
 
     def event_interval_measured(self, upstream: Upstream, step_s: float) -> None:
         """Record the time between two events of a stream, in seconds."""
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -46,10 +46,10 @@
 # The same as a multiple of the expected time to the first byte, so that the prefill of
 # a long prompt, repeated after the upstream ran out of memory, doesn't time out.
 READ_TIMEOUT_FACTOR = 3.0
-# Interval, in seconds, at which relocation from a silent upstream is attempted again.
+# Interval, in seconds, between two attempts to relocate a request.
 RELOCATION_INTERVAL_S = 0.3
-# The most time, in seconds, that a relocation and what follows it take. With less time
-# left, the request stays at the silent upstream.
+# The most time, in seconds, that a relocation and what follows it take; with less left,
+# a request stays where it is.
 RELOCATION_TIME_MAX_S = 0.8
 # The most unreachable upstreams of a request for which no retry is taken from the
 # budget; each may cost up to the connect timeout.
@@ -142,8 +142,8 @@
     def close(self) -> None:
         """End what is still in progress; must always be called.
 
-        An exception between the start and the end of an attempt would otherwise leak
-        its slot at the upstream, and the entry would run out of slots.
+        Otherwise an exception during an attempt would leak its slot at the upstream,
+        and the entry would run out of slots.
         """
         if self._current is not None:
             self._end_attempt(self._current, AttemptOutcome.LEFT)
@@ -327,7 +327,7 @@
     # The response
 
     def _begin_response(self, attempt: _Attempt) -> HandlerResult | None:
-        """Return the response that can be passed on to the caller, or None."""
+        """Return the response for the caller, or None."""
         if attempt.outcome is not None:
             return None
         if self.accepted.route.stream and attempt.response.status == 200:
@@ -405,8 +405,7 @@
     def _record_event_id(self, events: Events) -> None:
         """Record the last event id; raise IncompleteResponse if the ids don't rise.
 
-        Events with lower ids belong to another run, which can't continue what the
-        caller has: it would get an event twice.
+        Lower ids belong to another run, from which the caller would get an event twice.
         """
         if events.event_id is None:
             return
@@ -483,9 +482,9 @@
     def _allow_retry(self, attempt: _Attempt) -> bool:
         """Return whether another attempt is allowed, taking a retry if it needs one.
 
-        The first attempts after unreachable upstreams need none. If they did, the crash
-        of a few upstreams would use up the budget, and requests would be refused for
-        which other upstreams have free slots.
+        The first attempts after unreachable upstreams need none. Otherwise the crash of
+        a few upstreams would use up the budget, and requests would be refused although
+        others have free slots.
         """
         if self.relocation.is_prepared:
             # The retry was taken from the budget together with the slot.
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -50,9 +50,9 @@
 # peer that missed a message has wrong figures for at most this long.
 FULL_USAGE_INTERVAL_S = 1.0
 # How long an entry keeps to its own share of customers' limits after its start, in
-# seconds. Requests that waited while all entries started reach all of them at once, and
-# each entry would grant what the others grant too, before the messages of the first
-# 0.1 s say so. A longer time refuses customers whose callers are unevenly distributed.
+# seconds. Requests that waited while all entries started reach all at once, and each
+# entry would grant what the others grant too, before the messages of the first 0.1 s
+# say so. A longer time refuses customers whose callers are unevenly spread.
 OWN_SHARE_ONLY_S = 0.2
 ATTEMPTS = "direct_attempts"
 RETRIES = "direct_retries"
@@ -259,9 +259,9 @@
     def upstreams_changed(self, upstreams: tuple[Upstream, ...]) -> None:
         """Apply the platform's list of upstreams.
 
-        An upstream that has restarted lost its earlier requests, so those that await a
-        response of its earlier incarnation are aborted. If a network partition hid the
-        crash, a caller would otherwise wait seconds until the connection times out.
+        A restarted upstream has lost its requests, so those that await a response of
+        its earlier incarnation are aborted. If a network partition hid the crash, a
+        caller would otherwise wait seconds until the connection times out.
         """
         with self._lock:
             now_s = self._now_s()
@@ -274,7 +274,7 @@
         for pool in pools.values():
             pool.close_idle()
         for upstream in restarted:
-            log.info("upstream restarted", upstream=upstream.upstream_id)
+            log.info("upstream started again", upstream=upstream.upstream_id)
             if upstream.upstream_id in pools:
                 pools[upstream.upstream_id].abort()
 
@@ -389,12 +389,12 @@
             return self._peers.known(self._now_s())
 
     def live_peer_names(self) -> list[str]:
-        """Return the names of the other entries heard recently, also via others."""
+        """Return the names of the other entries heard recently by any path."""
         with self._lock:
             return self._peers.live_names(self._now_s())
 
     def direct_peer_names(self) -> list[str]:
-        """Return the names of the entries that recently sent to this one directly."""
+        """Return the names of those that recently sent to this entry directly."""
         with self._lock:
             return self._peers.directly_heard_names(self._now_s())
 
--- a/lavenderspoke/direct/server.py
+++ b/lavenderspoke/direct/server.py
@@ -8,8 +8,8 @@
 from lavenderspoke.direct.settings import DirectSettings
 from lavenderspoke.http.server import HttpServer
 
-# Connections may idle this much longer, in seconds, than callers are told, since a
-# request that crosses a close is lost to its caller.
+# Connections may idle this much longer, in seconds, than stated to callers, since a
+# request that crosses a close is lost.
 IDLE_MARGIN_S = 2.0
 # Time in which a request must arrive, as a multiple of that for its headers, which a
 # body follows.
