--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -49,12 +49,12 @@
         upstreams: tuple[Upstream, ...] = (UPSTREAM,),
     ):
         self.me = InstanceId(name=name, incarnation="1")
-        self.whereabouts = EntryLocation(
+        self.location = EntryLocation(
             address=f"tcp://{name}:1", data_centre=data_centre
         )
         self.dispatcher = DirectDispatcher(
             name=name,
-            whereabouts=self.whereabouts,
+            location=self.location,
             bounds=Bounds(),
             clock=clock,
             random=Random(seed),
@@ -110,7 +110,7 @@
         before.is_down = True
         entry = Entry(
             name=name,
-            data_centre=before.whereabouts.data_centre,
+            data_centre=before.location.data_centre,
             clock=self.clock,
             seed=self._random.randrange(1000),
         )
@@ -148,7 +148,7 @@
         for name, other in self.entries.items():
             if name == entry.me.name and only_earlier:
                 break
-            listed[name] = other.whereabouts
+            listed[name] = other.location
         entry.dispatcher.peers_listed(listed)
         self.at(
             self.now_s + self._random.uniform(0.0, TICK_S), lambda: self._tick(entry)
@@ -164,7 +164,7 @@
 
     def _deliver(self, sender: Entry, outgoing) -> None:
         entry = self.entries[outgoing.name]
-        if entry.is_down or outgoing.address != entry.whereabouts.address:
+        if entry.is_down or outgoing.address != entry.location.address:
             return
         for further in entry.dissemination.receive(sender.me, outgoing.message):
             self.send(entry, further)
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -390,7 +390,7 @@
     first = upstream_at(context.first.port, name="first")
     dispatcher = DirectDispatcher(
         name="entry-1",
-        whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
+        location=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=SystemClock(),
         random=Random(1),
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -91,14 +91,14 @@
     late = PassedOn(
         sender=entry.me,
         age_s=0.1,
-        state=SharedState(address=entry.whereabouts.address, number=1_000_000),
+        state=SharedState(address=entry.location.address, number=1_000_000),
     )
     for outgoing in entry.dissemination.leave_messages():
         fleet.send(entry, outgoing)
     entry.is_down = True
     fleet.run(LATE_S)
     for other in fleet.entries.values():
-        other.dispatcher.receive_relayed_states((late,))
+        other.dispatcher.receive_forwarded_states((late,))
 
 
 @when("they run for {seconds:g} s, and one refuses a request every 10 ms for 1 s")
@@ -120,7 +120,7 @@
     fleet = context.fleet
     fleet.run(seconds)
     dispatcher = fleet.entries["entry-5"].dispatcher
-    dispatcher._verdicts.record_attempt(
+    dispatcher._upstream_monitor.record_attempt(
         UPSTREAM, REQUEST, AttemptOutcome.MISDIRECTED, fleet.now_s
     )
 
@@ -139,7 +139,7 @@
     fleet.run(seconds)
     for number in {first, second}:
         dispatcher = fleet.entries[f"entry-{number}"].dispatcher
-        dispatcher._verdicts.record_attempt(
+        dispatcher._upstream_monitor.record_attempt(
             UPSTREAM, REQUEST, AttemptOutcome.UNREACHABLE, fleet.now_s
         )
 
@@ -207,7 +207,7 @@
         age_s=0.2,
         state=state_of(905, 300.0),
     )
-    context.entry.dispatcher.receive_relayed_states((late,))
+    context.entry.dispatcher.receive_forwarded_states((late,))
     receive_state(context, "2", number=3, used=60.0)
 
 
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -286,7 +286,7 @@
     context.dispatchers = {
         f"entry-{number}": DirectDispatcher(
             name=f"entry-{number}",
-            whereabouts=EntryLocation(address=f"tcp://10.0.0.{number}:1"),
+            location=EntryLocation(address=f"tcp://10.0.0.{number}:1"),
             bounds=Bounds(quota_tolerance=tolerance),
             clock=context.clock,
             random=Random(number),
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -189,8 +189,8 @@
     """Have two entries of different data centres report upstreams as failing."""
     for reporter in context.entries[2:4]:
         state = SharedState(
-            address=reporter.whereabouts.address,
-            data_centre=reporter.whereabouts.data_centre,
+            address=reporter.location.address,
+            data_centre=reporter.location.data_centre,
             number=1,
             failing=names,
         )
@@ -225,7 +225,7 @@
     dispatcher = context.entries[0].dispatcher
     request = accepted_request(resumable=False, attempts_max=1)
     for _ in range(5):
-        dispatcher._verdicts.record_attempt(
+        dispatcher._upstream_monitor.record_attempt(
             upstream_of("u0"), request, AttemptOutcome.BROKEN, 0.0
         )
 
--- a/features/steps/poison_steps.py
+++ b/features/steps/poison_steps.py
@@ -15,7 +15,7 @@
 @given("a crash history with a threshold of {threshold:d}")
 def step_history(context, threshold):
     poison = QuarantinePolicy(upstreams_threshold=threshold, quarantine_s=600.0)
-    context.crash_history = CrashHistory(service="s", poison=poison)
+    context.crash_history = CrashHistory(service="s", policy=poison)
     context.crashes, context.now_s = 0, 0.0
 
 
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -79,7 +79,7 @@
     context.registry = Registry()
     context.dispatcher = DirectDispatcher(
         name="entry-1",
-        whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
+        location=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=context.clock,
         random=Random(1),
@@ -157,7 +157,7 @@
 
 @when('content "{content}" breaks there, and the record names incarnation {born:d}')
 def step_crash(context, content, born):
-    crashes = context.dispatcher._verdicts.crashes
+    crashes = context.dispatcher._upstream_monitor.crashes
     crashes.record_broken_answer(
         upstream(context).upstream_id, content, context.clock.monotonic_s()
     )
@@ -169,7 +169,9 @@
 @then('content "{content}" is refused')
 def step_refused(context, content):
     now_s = context.clock.monotonic_s()
-    assert context.dispatcher._verdicts.crashes.is_quarantined(SERVICE, content, now_s)
+    assert context.dispatcher._upstream_monitor.crashes.is_quarantined(
+        SERVICE, content, now_s
+    )
 
 
 def upstream_ids(registry: Registry) -> list[str]:
@@ -245,7 +247,7 @@
         UpstreamsFeed(drain_s=2.0, on_change=lambda new: None, **common),
         EntriesFeed(
             name="e",
-            whereabouts=EntryLocation(address="tcp://127.0.0.1:1"),
+            location=EntryLocation(address="tcp://127.0.0.1:1"),
             on_change=lambda new: None,
             **common,
         ),
--- a/lavenderspoke/arrivalchecks.py
+++ b/lavenderspoke/arrivalchecks.py
@@ -69,7 +69,7 @@
 
     def _check_admission(self, state: ServiceState, arrival, now_s) -> Problem | None:
         return state.admission.admit(
-            arrival.call, arrival.deadline_in_s, now_s, state.queue, state.drain
+            arrival.call, arrival.deadline_in_s, now_s, state.queue, state.drain_rate
         )
 
 
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -79,7 +79,7 @@
     def __init__(
         self,
         *,
-        opening: StartupHold,
+        startup_hold: StartupHold,
         in_force: CatalogInForce,
         dispatcher: DirectDispatcher,
         dialect: Dialect,
@@ -89,7 +89,7 @@
     ):
         self.draining = False
         self.refusing = False
-        self._startup_hold = opening
+        self._startup_hold = startup_hold
         self._in_force = in_force
         self._dispatcher = dispatcher
         self._dialect = dialect
--- a/lavenderspoke/direct/crashes.py
+++ b/lavenderspoke/direct/crashes.py
@@ -76,7 +76,7 @@
             poison = QuarantinePolicy(
                 upstreams_threshold=CRASHED_UPSTREAMS_MIN, quarantine_s=QUARANTINE_S
             )
-            self._ledgers[service] = CrashHistory(service=service, poison=poison)
+            self._ledgers[service] = CrashHistory(service=service, policy=poison)
         return self._ledgers[service]
 
 
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -75,7 +75,7 @@
         self.clock = clock
         self.metrics = Metrics()
         self.me = InstanceId(name=settings.name, incarnation=uuid.uuid4().hex)
-        self.whereabouts = EntryLocation(
+        self.location = EntryLocation(
             address=f"tcp://{settings.peers.host}:{settings.peers.port}",
             data_centre=settings.data_centre,
         )
@@ -85,7 +85,7 @@
         )
         self.dispatcher = DirectDispatcher(
             name=settings.name,
-            whereabouts=self.whereabouts,
+            location=self.location,
             bounds=bounds,
             clock=clock,
             random=Random(),
@@ -94,7 +94,7 @@
         self._watch = CallerWatch()
         self._startup_hold = StartupHold(is_ready=self._has_initial_state, clock=clock)
         self._app = DirectApp(
-            opening=self._startup_hold,
+            startup_hold=self._startup_hold,
             in_force=self.in_force,
             dispatcher=self.dispatcher,
             dialect=dialect,
--- a/lavenderspoke/direct/dissemination.py
+++ b/lavenderspoke/direct/dissemination.py
@@ -67,7 +67,7 @@
         self._dispatcher = dispatcher
         self._clock = clock
         self._topology = GossipTopology(
-            name=me.name, data_centre=dispatcher.whereabouts.data_centre
+            name=me.name, data_centre=dispatcher.location.data_centre
         )
         self._ticks = 0
         self._idle_ticks = 0
@@ -106,7 +106,7 @@
     ) -> list[OutgoingMessage]:
         """Apply a message from another entry; return messages to forward at once."""
         if isinstance(message, GroupStates):
-            self._dispatcher.receive_relayed_states(message.states)
+            self._dispatcher.receive_forwarded_states(message.states)
             return self._forward_to_neighbours(message)
         is_new = self._dispatcher.receive_state(sender, message)
         if is_new and sender.name in self._topology.neighbours:
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -71,13 +71,13 @@
         self,
         *,
         name: str,
-        whereabouts: EntryLocation,
+        location: EntryLocation,
         bounds: Bounds,
         clock: Clock,
         random: Random,
         metrics: Metrics,
     ):
-        self.whereabouts = whereabouts
+        self.location = location
         self.bounds = bounds
         self._name = name
         self._clock = clock
@@ -106,7 +106,7 @@
             access=self._rollouts.access,
             canary=self._rollouts.canary_splitter,
         )
-        self._verdicts = UpstreamMonitor(
+        self._upstream_monitor = UpstreamMonitor(
             own_name=name, scheduler=self._scheduler, metrics=metrics
         )
 
@@ -125,7 +125,9 @@
             now_s = self._now_s()
             service, fingerprint = accepted.service, accepted.fingerprint
             self._retry_allowance(service).record_first_attempt(now_s)
-            if self._verdicts.crashes.is_quarantined(service, fingerprint, now_s):
+            if self._upstream_monitor.crashes.is_quarantined(
+                service, fingerprint, now_s
+            ):
                 return Err(not_run(Reason.CRASHES_UPSTREAMS))
             first_arrived_s = self._resubmissions.take(fingerprint, now_s)
             refusal = self._charge_quota(
@@ -205,7 +207,7 @@
         self._metrics.count(ATTEMPTS, outcome.value)
         with self._lock:
             now_s = self._now_s()
-            self._verdicts.record_attempt(upstream, accepted, outcome, now_s)
+            self._upstream_monitor.record_attempt(upstream, accepted, outcome, now_s)
             queue = self._scheduler.queue(ticket.service)
             queue.release(ticket, upstream.upstream_id, now_s)
             result = attempt_result(ticket, accepted.route, outcome, now_s)
@@ -267,7 +269,7 @@
             now_s = self._now_s()
             self._rollouts.update_upstreams(upstreams, now_s)
             self._scheduler.reconfigure(upstreams, now_s)
-            restarted = self._verdicts.update_listed(upstreams, now_s)
+            restarted = self._upstream_monitor.update_listed(upstreams, now_s)
             listed = {each.upstream_id for each in upstreams}
             unlisted = [each for each in self._connection_pools if each not in listed]
             pools = {each: self._connection_pools.pop(each) for each in unlisted}
@@ -357,7 +359,7 @@
         with self._lock:
             return self._merge_state(sender, state, self._now_s(), age_s=None)
 
-    def receive_relayed_states(self, states: tuple[PassedOn, ...]) -> None:
+    def receive_forwarded_states(self, states: tuple[PassedOn, ...]) -> None:
         """Merge states of other entries that one of them passed on."""
         with self._lock:
             now_s = self._now_s()
@@ -368,14 +370,14 @@
     def receive_crash_evidence(self, evidence: CrashEvidence) -> None:
         """Merge evidence of a crash that another entry observed."""
         with self._lock:
-            self._verdicts.crashes.merge(evidence, self._now_s())
+            self._upstream_monitor.crashes.merge(evidence, self._now_s())
 
     def tick(self) -> None:
         """Refresh the peers' states, dispatch waiting requests, advance roll-outs."""
         with self._lock:
             now_s = self._now_s()
             self._update_shares(now_s)
-            self._verdicts.tick(now_s)
+            self._upstream_monitor.tick(now_s)
             self._peers.drop_stale(now_s)
             self._scheduler.tick(now_s)
             self._advance_rollouts(now_s)
@@ -414,10 +416,10 @@
                     waiting[service] = _count_rows(rows)
                 if rows := queue.held():
                     held[service] = _count_rows(rows)
-            findings = self._verdicts.take_findings()
+            findings = self._upstream_monitor.take_findings()
             state = SharedState(
-                address=self.whereabouts.address,
-                data_centre=self.whereabouts.data_centre,
+                address=self.location.address,
+                data_centre=self.location.data_centre,
                 running=running,
                 waiting=waiting,
                 held=held,
@@ -429,7 +431,7 @@
                 failing=findings.failing,
                 leaving=leaving,
             )
-            evidence = self._verdicts.take_evidence()
+            evidence = self._upstream_monitor.take_evidence()
         return [state, *evidence]
 
     # Internals
@@ -441,7 +443,7 @@
             return False
         self._resubmissions.record_peer_refusals(state.refused, now_s)
         self._rollouts.receive_news(sender, state.rollouts, now_s)
-        self._verdicts.merge_peer_state(sender.name, state, now_s)
+        self._upstream_monitor.merge_peer_state(sender.name, state, now_s)
         self._quota.merge_peer_spent(
             sender.name, sender.incarnation, state.spent, now_s=now_s
         )
--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -107,15 +107,15 @@
         self.peers = PeerViews(silence_timeout_s=times.peer_lost_s)
         self.roster = Roster(lease_s=times.roster_lease_s)
         self.draining = False
-        self.intake = ArrivalChecks(services=self.services)
-        self.room = RequestDropper(
+        self.arrival_checks = ArrivalChecks(services=self.services)
+        self.dropper = RequestDropper(
             requests=self.requests, peers=self.peers, requests_max=requests_max
         )
         self.service_messages = ServiceMessages(
             services=self.services,
             agents=self.agents,
             peers=self.peers,
-            room=self.room,
+            dropper=self.dropper,
         )
         self.following = Following(requests=self.requests, times=times.following)
         self.claims = KeyClaims(
@@ -125,7 +125,7 @@
         self._new_id = new_id
         self._policy = policy
         self._listed_entries: tuple[str, ...] = ()
-        self._watchlist = DueQueue()
+        self._due_queue = DueQueue()
         self._check_due_s = now_s
         self._handled_s = now_s
         self._doubt_until_s = now_s
@@ -184,10 +184,10 @@
     def _check(self, now_s: float) -> list:
         actions = []
         for state in self.services.values():
-            actions += self.room.drop_expired(state, now_s)
-            actions += self.room.shed_excess(state, now_s)
+            actions += self.dropper.drop_expired(state, now_s)
+            actions += self.dropper.shed_excess(state, now_s)
             actions += self._tell_or_push(state, now_s)
-        for request_id in self._watchlist.pop_due(now_s):
+        for request_id in self._due_queue.pop_due(now_s):
             tracked = self.requests.get(request_id)
             if tracked is not None and tracked.phase is not Phase.WAITING:
                 actions += self._check_one(tracked, now_s)
@@ -201,10 +201,10 @@
 
     def _watch(self, tracked: Tracked, now_s: float) -> None:
         """Look at a request again soon, and at its deadline."""
-        is_flowing = tracked.phase is Phase.RUNNING and not tracked.assembly.has_gap
+        is_flowing = tracked.phase is Phase.RUNNING and not tracked.reassembly.has_gap
         watch_s = WATCH_FLOWING_S if is_flowing else WATCH_S
         until_deadline_s = max(CHECK_S, tracked.deadline_s - now_s)
-        self._watchlist.add(tracked.request_id, now_s + min(watch_s, until_deadline_s))
+        self._due_queue.add(tracked.request_id, now_s + min(watch_s, until_deadline_s))
 
     def _claim(self, tracked: Tracked, now_s: float) -> list:
         self._watch(tracked, now_s)
@@ -242,7 +242,7 @@
         for view in self.agents.remove_silent(now_s):
             state = self.services.get(view.announce.service)
             if state is not None:
-                state.sketch.remove_upstream(view.announce.upstream)
+                state.prefix_index.remove_upstream(view.announce.upstream)
         for peer in self.peers.remove_silent(now_s):
             for state in self.services.values():
                 state.floors.on_peer_lost(peer.name)
@@ -359,7 +359,7 @@
     @_on.register
     def _(self, event: events.Arrived, now_s: float) -> list:
         arrival = event.arrival
-        problem = self.intake.find_problem(arrival, self.draining, now_s)
+        problem = self.arrival_checks.find_problem(arrival, self.draining, now_s)
         if problem is not None:
             return [
                 Count(name="refusals", reason=problem.reason.value),
@@ -390,8 +390,8 @@
 
     def _offer(self, state, tracked, warm: dict[str, int], now_s: float) -> list:
         agents = self.agents.for_service(state.service.name)
-        is_short = state.is_full() or self.room.is_near_limit()
-        actions = self.room.shed_excess(state, now_s) if is_short else []
+        is_short = state.is_full() or self.dropper.is_near_limit()
+        actions = self.dropper.shed_excess(state, now_s) if is_short else []
         if self._policy.dispatching is not Dispatching.PULL:
             return actions + self._push(state, agents, now_s)
         return actions + state.demand.on_arrival(
@@ -407,13 +407,18 @@
         if tracked.is_out:
             cancel = messages.Cancel(request_id=tracked.run_id)
             actions.append(Send(recipient=tracked.agent, message=cancel))
-        return [*actions, self.room.finish_with(event.request_id, Reason.CALLER_GONE)]
+        return [
+            *actions,
+            self.dropper.finish_with(event.request_id, Reason.CALLER_GONE),
+        ]
 
     # Claims
 
     def _check_claims(self, tracked: Tracked, now_s: float) -> list:
         if now_s >= tracked.deadline_s:
-            return [self.room.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED)]
+            return [
+                self.dropper.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED)
+            ]
         step = self.claims.check(tracked, self._service(tracked), now_s)
         if step.found is not None:
             found = self.following.attach(
@@ -474,11 +479,11 @@
         if now_s >= tracked.deadline_s:
             return [
                 counted,
-                self.room.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED),
+                self.dropper.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED),
             ]
         if is_below:
-            return [counted, self.room.finish_with(tracked.request_id, Reason.SHED)]
-        warm = state.put_back(tracked, now_s)
+            return [counted, self.dropper.finish_with(tracked.request_id, Reason.SHED)]
+        warm = state.requeue(tracked, now_s)
         return [counted, *self._offer(state, tracked, warm, now_s)]
 
     # Messages from agents and other entries
@@ -520,7 +525,7 @@
         state = self.services.get(announce.service)
         if state is None:
             return []
-        state.sketch.remove_upstream(announce.upstream)
+        state.prefix_index.remove_upstream(announce.upstream)
         can_resume = state.service.upstreams.kind is Kind.MODEL
         return self.following.succeeded(new, can_resume, now_s)
 
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -118,7 +118,7 @@
         tracked.heard_s = now_s
         tracked.phase = Phase.RUNNING
         actions = []
-        for ready in tracked.assembly.add(piece):
+        for ready in tracked.reassembly.add(piece):
             actions += self._part(tracked, ready, now_s)
         return actions
 
@@ -177,7 +177,7 @@
             return self._ask(tracked, self._revoke(tracked), now_s)
         if tracked.phase is Phase.RESUMING:
             return self._ask(tracked, self._resume(tracked), now_s)
-        if tracked.assembly.has_gap or silent_s >= self.times.attach_after_s:
+        if tracked.reassembly.has_gap or silent_s >= self.times.attach_after_s:
             return self._ask(tracked, self._attach(tracked), now_s)
         return []
 
@@ -201,7 +201,7 @@
 
     def _attach(self, tracked: Tracked) -> messages.Attach:
         return messages.Attach(
-            request_id=tracked.run_id, number=tracked.assembly.next_number
+            request_id=tracked.run_id, number=tracked.reassembly.next_number
         )
 
     def _resume(self, tracked: Tracked) -> messages.Resume:
--- a/lavenderspoke/platform/daemon.py
+++ b/lavenderspoke/platform/daemon.py
@@ -134,7 +134,7 @@
             relay=self._relay,
             metrics=entry.metrics,
             name=entry.me.name,
-            whereabouts=entry.whereabouts,
+            location=entry.location,
             on_change=entry.dispatcher.peers_listed,
         )
 
--- a/lavenderspoke/platform/feeds.py
+++ b/lavenderspoke/platform/feeds.py
@@ -233,19 +233,19 @@
         relay: Relay,
         metrics: Metrics,
         name: str,
-        whereabouts: EntryLocation,
+        location: EntryLocation,
         on_change: Callable[[dict[str, EntryLocation]], None],
     ):
         super().__init__(store=store, clock=clock, relay=relay, metrics=metrics)
         self._name = name
-        self._whereabouts = whereabouts
+        self._location = location
         self._on_change = on_change
         self._known = False
 
     def poll(self) -> bool:
         """Write this entry's record until that has worked, then read on."""
         if not self._known:
-            value = json.dumps(attrs.asdict(self._whereabouts)).encode()
+            value = json.dumps(attrs.asdict(self._location)).encode()
             self._count_call(CallReason.OWN_RECORD)
             appended = self._store.append(self.topic, self._name, value)
             if isinstance(appended, Err):
--- a/lavenderspoke/poison.py
+++ b/lavenderspoke/poison.py
@@ -69,16 +69,16 @@
     Crashes are kept for the policy's `quarantine_s`, at most `CRASHES_MAX`.
     """
 
-    def __init__(self, *, service: str, poison: QuarantinePolicy):
+    def __init__(self, *, service: str, policy: QuarantinePolicy):
         self._service = service
-        self._policy = poison
+        self._policy = policy
         self._crashes: OrderedDict[str, _Crash] = OrderedDict()
         self._answered: OrderedDict[str, None] = OrderedDict()
         self._quarantined_until_s: dict[str, float] = {}
 
-    def reconfigure(self, poison: QuarantinePolicy) -> None:
+    def reconfigure(self, policy: QuarantinePolicy) -> None:
         """Apply the policy of a new service document."""
-        self._policy = poison
+        self._policy = policy
 
     def record_crash(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
         """Record a crash and return the quarantines that follow from it.
--- a/lavenderspoke/servicemessages.py
+++ b/lavenderspoke/servicemessages.py
@@ -19,7 +19,7 @@
     services: dict[str, ServiceState]
     agents: AgentViews
     peers: PeerViews
-    room: RequestDropper
+    dropper: RequestDropper
 
     @functools.singledispatchmethod
     def take(self, message: object, sender: InstanceId, now_s: float) -> list:
@@ -33,7 +33,7 @@
         if state is None or view is None:
             return []
         upstream = view.announce.upstream
-        if state.sketch.apply_event(sender, message, upstream=upstream):
+        if state.prefix_index.apply_event(sender, message, upstream=upstream):
             return []
         return [Count(name="prefix_gaps", reason=message.service)]
 
@@ -61,7 +61,7 @@
     def _quarantine(self, verdict: messages.Quarantined) -> list:
         return [
             Count(name="quarantines", reason=verdict.service),
-            *self.room.drop_quarantined(verdict.service, verdict.fingerprint),
+            *self.dropper.drop_quarantined(verdict.service, verdict.fingerprint),
         ]
 
     @take.register
@@ -69,7 +69,7 @@
         state = self.services.get(message.service)
         if state is None:
             return []
-        return self.room.apply(state.floors.on_floor(sender, message, now_s))
+        return self.dropper.apply(state.floors.on_floor(sender, message, now_s))
 
     @take.register
     def _(self, message: messages.FloorHeld, sender, now_s) -> list:
@@ -77,4 +77,4 @@
         if state is None:
             return []
         state.floors.on_floor_held(sender, message, now_s)
-        return self.room.shed_excess(state, now_s)
+        return self.dropper.shed_excess(state, now_s)
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -18,7 +18,7 @@
 from lavenderspoke.waiting import WaitingQueue, WaitingRequest, cost_tokens
 
 # Upstreams times prefixes that an entry remembers for a service.
-SKETCH_ENTRIES_MAX = 50_000
+PREFIX_INDEX_ENTRIES_MAX = 50_000
 # While a floor is being asked for, this many times the limit may wait. Past it
 # the memory of the entry goes first, and the order of tiers holds here only.
 HARD_LIMIT = 2
@@ -42,11 +42,11 @@
         self.policy = policy
         self.queue = WaitingQueue(service=service, policy=policy.queue)
         self.admission = Admission(service=service, random=random)
-        self.drain = DrainRate()
+        self.drain_rate = DrainRate()
         self.floors = FloorCoordinator(service=service, instance=me)
         self.demand = DemandNotifier(service=service.name)
-        self.sketch = PrefixIndex(entries_max=SKETCH_ENTRIES_MAX)
-        self.crashes = CrashHistory(service=service.name, poison=service.poison)
+        self.prefix_index = PrefixIndex(entries_max=PREFIX_INDEX_ENTRIES_MAX)
+        self.crashes = CrashHistory(service=service.name, policy=service.poison)
         self.retries = RetryAllowance(budget=service.retry_budget)
 
     def configure(self, service: Service, version: int, now_s: float) -> None:
@@ -59,22 +59,22 @@
         self.crashes.reconfigure(service.poison)
         self.retries.reconfigure(service.retry_budget)
 
-    def warm(self, tracked: Tracked) -> dict[str, int]:
+    def cached_tokens(self, tracked: Tracked) -> dict[str, int]:
         """Return the upstreams believed to hold the request's prefix."""
         hashes = tracked.call.prefix_hashes
         if not hashes:
             return {}
-        return self.sketch.lookup(hashes, self.service.prefixes.block_tokens)
+        return self.prefix_index.lookup(hashes, self.service.prefixes.block_tokens)
 
     def enqueue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
         """Let a request wait; return the upstreams believed warm for it."""
-        warm = self.warm(tracked)
+        warm = self.cached_tokens(tracked)
         self.queue.add(self._waiting(tracked, warm), now_s)
         return warm
 
-    def put_back(self, tracked: Tracked, now_s: float) -> dict[str, int]:
+    def requeue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
         """Let a request wait again that was granted and did not run."""
-        warm = self.warm(tracked)
+        warm = self.cached_tokens(tracked)
         self.queue.requeue(self._waiting(tracked, warm), now_s)
         return warm
 
@@ -89,7 +89,7 @@
 
     def retry_after_s(self, rank: int, now_s: float) -> float:
         """Return when a caller of a tier should come back, with jitter."""
-        return self.admission.retry_after_s(rank, now_s, self.queue, self.drain)
+        return self.admission.retry_after_s(rank, now_s, self.queue, self.drain_rate)
 
     def below_floor(self, rank: int, now_s: float) -> bool:
         """Return whether a floor in force keeps this tier out."""
@@ -170,7 +170,7 @@
 
     def _drained(self, request: WaitingRequest, now_s: float) -> None:
         call = request.call
-        self.drain.record_grant(
+        self.drain_rate.record_grant(
             call.tier, cost_tokens(call), now_s, self.queue.counts()
         )
 
--- a/lavenderspoke/tracked.py
+++ b/lavenderspoke/tracked.py
@@ -49,7 +49,7 @@
     heard_s: float = 0.0
     asked_s: float = 0.0
     head_given: bool = False
-    assembly: ReassemblyBuffer = attrs.field(factory=ReassemblyBuffer)
+    reassembly: ReassemblyBuffer = attrs.field(factory=ReassemblyBuffer)
 
     @property
     def call(self) -> Call:
@@ -132,7 +132,7 @@
         tracked.run_id = run_id
         tracked.heard_s = now_s
         tracked.asked_s = now_s
-        tracked.assembly = ReassemblyBuffer()
+        tracked.reassembly = ReassemblyBuffer()
         self._by_run.setdefault(run_id, set()).add(tracked.request_id)
 
     def _unfollow(self, tracked: Tracked) -> None:
