--- a/lavenderspoke/direct/health.py
+++ b/lavenderspoke/direct/health.py
@@ -1,26 +1,25 @@
-"""An upstream's health, as an entry's own requests show it.
+"""An upstream's health, as an entry's own requests and other entries' reports show it.
 
 Health checks occupy a slot and can be wrong in both directions, so only the outcomes of
 real requests count. An upstream that can't be reached or stops sending is suspended for
-a time that doubles, and then gets one trial request, not all that wait. One that
-answers but often fails is chosen less often, and ejected in the same way if the others
-fail less.
+a time that doubles, and then gets a single trial request. One that answers but often
+fails is chosen less often, and ejected in the same way if the others fail less.
 """
 
 import attrs
 
-# Suspension after the first unreachable attempt in a row; short, since most resets
-# affect one connection and not the process.
+# Suspension after the first unreachable attempt in a row; short, since often only one
+# connection is affected and not the process.
 SUSPEND_MIN_S = 0.25
 # The longest suspension: a crashed engine is back after some seconds.
 SUSPEND_MAX_S = 2.0
 # The first and the longest ejection of an upstream that fails more than the others.
 EJECTION_MIN_S = 1.0
 EJECTION_MAX_S = 4.0
-# For how long after an ejection only a retryable request may be the trial request.
-# After that any may be, since a service may have no retryable ones.
+# For how long after the pause of an ejection only a retryable request may be the trial
+# request. After that any may be, since a service may have no retryable ones.
 RETRYABLE_ONLY_S = 4.0
-# Outcomes from which on an entry trusts its own more than other entries' reports.
+# Least number of own outcomes that an entry trusts more than other entries' reports.
 OWN_OUTCOMES_MIN = 5
 # Share of failures below which an upstream counts as healthy by its own outcomes.
 HEALTHY_FAILURE_SHARE = 0.1
@@ -29,20 +28,22 @@
 REPORTED_SUSPENSION_S = 2.2
 # Weight of the newest outcome in the failure share: about ten requests count.
 OUTCOME_WEIGHT = 0.1
-# Weights of the newest step in the step duration, when it is faster and when it is
-# slower than the estimate. Prompts that are read concurrently lengthen a stream's steps
-# and say nothing about the upstream, so the estimate follows the fast steps.
-FASTER_WEIGHT = 0.1
-SLOWER_WEIGHT = 0.02
+# Weights of the newest step in the step duration, when it is shorter and when it is
+# longer than the estimate. Prompts that are read concurrently lengthen a stream's steps
+# and say nothing about the upstream, so the estimate follows the short steps.
+SHORTER_STEP_WEIGHT = 0.1
+LONGER_STEP_WEIGHT = 0.02
 
 
 @attrs.define(kw_only=True)
 class Health:
-    """The record of one upstream.
+    """Recent outcomes at one upstream, and until when it gets no requests.
 
     `failure_share` is between 0 and 1. `step_s` is the recent time between two events
     of a stream, or None before one was measured. While `is_ejected`, it gets nothing at
-    first, and then one trial request at a time until one succeeds.
+    first, and then one trial request at a time until one succeeds. `outcomes` leaves
+    out unreachable attempts. `ejections` lengthens the next ejection; the second
+    success after one resets it.
     """
 
     failure_share: float = 0.0
@@ -68,7 +69,7 @@
     def record_broken_connection(self) -> None:
         """Record a broken connection: the upstream may be alive.
 
-        Requests in flight there break together, so they don't count as consecutive
+        All requests in flight break at once, so they don't count as consecutive
         failures.
         """
         self.failure_share += (1.0 - self.failure_share) * OUTCOME_WEIGHT
@@ -123,16 +124,17 @@
         """Record the measured duration of a step."""
         if self.step_s is None:
             self.step_s = step_s
-        weight = FASTER_WEIGHT if step_s < self.step_s else SLOWER_WEIGHT
+        weight = SHORTER_STEP_WEIGHT if step_s < self.step_s else LONGER_STEP_WEIGHT
         self.step_s += (step_s - self.step_s) * weight
 
-    def usable(self, in_flight: int, now_s: float) -> bool:
+    def usable(self, own_in_flight: int, now_s: float) -> bool:
         """Return whether one more request may be sent beside those in flight.
 
-        After a suspension, one request at a time is sent until one succeeds.
+        After a suspension, one request at a time is sent until one succeeds, unless it
+        was suspended on reports only.
         """
         if now_s < self.suspended_until_s:
             return False
         if self.consecutive_unreachable or self.is_ejected:
-            return in_flight == 0
+            return own_in_flight == 0
         return now_s >= self.reported_until_s
--- a/lavenderspoke/direct/lengths.py
+++ b/lavenderspoke/direct/lengths.py
@@ -1,16 +1,16 @@
 """How often the longest answers of a rank are served, compared with all its answers.
 
-While capacity is short, short answers go before long ones of their rank. By that alone,
-the longest would hardly ever be served for as long as the shortage lasts.
+While capacity is short, short answers go before long ones of their rank. Without a
+guarantee, the longest would hardly ever be served during a shortage.
 """
 
 import attrs
 
 # Share of a rank's requests that count as long.
 LONG_SHARE = 0.1
-# Long answers are served at least this many times as often as all of their rank.
+# Least ratio of the served share of long answers to that of all answers of their rank.
 LONG_SERVED_RATIO_MIN = 0.6
-# Weight of all earlier requests at each new one: about fifty count.
+# Factor by which the counts decay at each arrival: about the last fifty count.
 DECAY = 0.98
 # Share by which the threshold of long answers moves per request.
 THRESHOLD_STEP_SHARE = 0.05
@@ -28,13 +28,13 @@
 
 @attrs.define(kw_only=True)
 class AnswerLengths:
-    """Recent arrivals and dispatches of one rank.
+    """Recent arrivals and dispatches of one rank, in all and of long answers.
 
     >>> lengths = AnswerLengths()
     >>> for tokens in [10] * 18 + [500, 500]:
     ...     lengths.record_arrival(tokens)
     >>> lengths.record_dispatch(10)
-    >>> lengths.is_long(500), lengths.is_long(10), lengths.is_long_underserved()
+    >>> lengths.is_long(500), lengths.is_long(10), lengths.are_long_underserved()
     (True, False, True)
     """
 
@@ -59,7 +59,7 @@
         """Return whether an answer is among the longest of the rank."""
         return tokens > self._long_threshold_tokens
 
-    def is_long_underserved(self) -> bool:
+    def are_long_underserved(self) -> bool:
         """Return whether long answers are served too rarely."""
         dispatched_min = (
             LONG_SERVED_RATIO_MIN * self._all.dispatched * self._long.arrived
--- a/lavenderspoke/direct/outliers.py
+++ b/lavenderspoke/direct/outliers.py
@@ -1,8 +1,8 @@
 """Outlier detection: upstreams that fail so much more than the others are ejected.
 
-An upstream that fails at once is never busy, and while the others are full it would
-attract all waiting requests. It is compared with the others of its service: while all
-of them fail, each still gets its share of the requests.
+An upstream that fails each request immediately is never busy, and while the others are
+full it would attract all waiting requests. It is compared with the others of its
+service: while all of them fail, each still gets its share of the requests.
 """
 
 import math
@@ -10,9 +10,9 @@
 
 from lavenderspoke.direct.health import Health
 
-# Consecutive failures from which on an upstream may be an outlier.
+# Least number of consecutive failures of an outlier.
 CONSECUTIVE_FAILURES_MIN = 5
-# Share of failures from which on it may be one, when successes occur in between.
+# Its least share of failures instead, when successes occur in between.
 FAILURE_SHARE_MIN = 0.7
 # How much its share of failures must exceed the mean of the others.
 FAILURE_SHARE_EXCESS_MIN = 0.2
--- a/lavenderspoke/direct/peerreports.py
+++ b/lavenderspoke/direct/peerreports.py
@@ -3,7 +3,7 @@
 import attrs
 
 # Time within which reports of an upstream are combined: an entry that couldn't reach it
-# tries again after two seconds at the latest.
+# tries again after `health.SUSPEND_MAX_S`, two seconds, at the latest.
 REPORT_WINDOW_S = 2.5
 
 
@@ -19,9 +19,8 @@
 
     An upstream whose host lost power answers nobody. Without reports, each of many
     entries would find that out with a request of its own that waits for the connection
-    timeout, and again after each suspension. A single report may come from an entry
-    that is partitioned, and several from one data centre from a partition between two;
-    so entries of two data centres have to report it.
+    timeout, and again after each suspension. A single entry may be partitioned,
+    and so may a whole data centre; so entries of two data centres have to report it.
 
     >>> reports = PeerReports()
     >>> reports.record("u", by="a", data_centre="x", now_s=0.0)
--- a/lavenderspoke/direct/peertotals.py
+++ b/lavenderspoke/direct/peertotals.py
@@ -1,4 +1,4 @@
-"""Sums of the other entries' running and waiting requests and of the slots they hold.
+"""Sums of the other entries' requests: in flight by upstream, waiting and held by rank.
 
 Updated with each message, at a cost that depends on that message only: summing the
 tables of about a hundred entries at each use took more processor time than their
@@ -17,7 +17,7 @@
 
 
 class PeerTotals:
-    """The sums over the last states of all live entries.
+    """The sums over the last states of the entries put and not dropped.
 
     >>> totals = PeerTotals()
     >>> totals.put("a", SharedState(address="", running={"u": (2, 900)}))
@@ -65,10 +65,10 @@
         return self._loads
 
     def counts(self, service: str, *, age_s: float) -> PeerCounts:
-        """Return the counts of one service; `age_s` is passed on."""
+        """Return the counts of one service; `age_s` is the mean age of the states."""
         return PeerCounts(
-            waiting=_counts(self._waiting.get(service)),
-            held=_counts(self._held.get(service)),
+            waiting=_without_zeros(self._waiting.get(service)),
+            held=_without_zeros(self._held.get(service)),
             entries=len(self._states),
             age_s=age_s,
         )
@@ -94,5 +94,5 @@
         counts[customer_rank, route_rank] += sign * count
 
 
-def _counts(counts: Counter[Rank] | None) -> dict[Rank, int]:
+def _without_zeros(counts: Counter[Rank] | None) -> dict[Rank, int]:
     return {rank: count for rank, count in (counts or {}).items() if count}
--- a/lavenderspoke/direct/pool.py
+++ b/lavenderspoke/direct/pool.py
@@ -18,10 +18,10 @@
 # Duration of an engine step, the time between two events of a stream, before one was
 # measured.
 STEP_DEFAULT_S = 0.02
-# Steps that each concurrent request adds to the time to the first byte: its tokens
-# take part in every step.
+# Steps by which each concurrent request, the new one included, delays the first byte:
+# its tokens take part in every step.
 STEPS_PER_CONCURRENT_REQUEST = 1.0
-# Weight of the time after the first byte against the time until it: a long answer holds
+# Share of the time after the first byte that is added to the cost: a long answer holds
 # its slot for long at a slow upstream.
 ANSWER_TIME_WEIGHT = 0.1
 # Cost of an answer that is not expected to be complete by the deadline.
@@ -32,7 +32,7 @@
 # The fewest upstreams to compare for a request.
 SAMPLE_MIN = 2
 # Share of the canary requests that go to the most loaded upstream with a free slot.
-CANARY_PACKED_SHARE = 0.5
+CANARY_MOST_LOADED_SHARE = 0.5
 # Cost of a failure that is certain: about one wasted attempt.
 FAILURE_PENALTY_S = 0.6
 # How long nothing is sent to an upstream whose address another one has taken over:
@@ -45,7 +45,7 @@
 class Load:
     """In-flight requests of one or more entries at an upstream.
 
-    `prefill_tokens` counts the tokens of prompts whose first event hasn't arrived.
+    `prefill_tokens` are the prompt tokens of requests without a first event so far.
     """
 
     requests: int = 0
@@ -143,12 +143,12 @@
 class Selection:
     """The upstream chosen for a request, if any.
 
-    Without one, `worth_waiting` tells that only this request has to wait; otherwise no
-    upstream has a free slot.
+    Without one, `only_this_waits` tells that requests behind this one may still be
+    sent; otherwise no upstream has a free slot.
     """
 
     upstream_state: UpstreamState | None
-    worth_waiting: bool = False
+    only_this_waits: bool = False
 
 
 @attrs.frozen(kw_only=True)
@@ -221,11 +221,11 @@
             state.peer_load = loads.get(upstream_id, NO_LOAD)
 
     def evict(self, upstream_id: str, now_s: float) -> None:
-        """Stop sending to an upstream whose address another one has taken over.
+        """Stop sending to an upstream that has restarted under another ID.
 
-        It crashed and restarted under another ID. Since nothing runs there, its record,
-        which lasts for seconds, would attract requests from all entries; each would be
-        rejected and use up a retry that others need.
+        Its old record lasts for seconds. Since nothing runs under the old ID, it would
+        attract requests from all entries; each would be rejected and use up a retry
+        that others need.
         """
         state = self._states.get(upstream_id)
         if state is not None:
@@ -261,17 +261,17 @@
         return [each.health for each in self._open_states() if each is not state]
 
     def expire_evictions(self, now_s: float) -> None:
-        """Use evicted upstreams again whose eviction has expired."""
+        """End the evictions that have expired."""
         for state in self._states.values():
             if state.evicted_until_s is not None and now_s >= state.evicted_until_s:
                 state.evicted_until_s = None
 
     def slots(self) -> int:
-        """Return the slots of all upstreams that are open to any request."""
+        """Return the slots of the upstreams open to all requests, even if ejected."""
         return sum(s.upstream.slots for s in self._open_states())
 
     def free_slots(self, now_s: float) -> int:
-        """Return how many requests could be sent right now, trial requests left out."""
+        """Return the free slots of the usable upstreams, except ejected ones."""
         usable = (
             s
             for s in self._open_states()
@@ -282,13 +282,13 @@
     def version_load(self) -> VersionLoad:
         """Return the slots and the requests in flight by version."""
         slots: Counter[str] = Counter()
-        held: Counter[str] = Counter()
+        in_flight: Counter[str] = Counter()
         for state in self._states.values():
             version = state.upstream.version
-            held[version] += state.in_flight()
+            in_flight[version] += state.in_flight()
             if not state.upstream.leaving and state.evicted_until_s is None:
                 slots[version] += state.upstream.slots
-        return VersionLoad(slots=slots, in_flight=held)
+        return VersionLoad(slots=slots, in_flight=in_flight)
 
     def in_flight(self) -> int:
         """Return the requests in flight of all entries."""
@@ -311,13 +311,16 @@
     ) -> Selection:
         """Choose the upstream with a free slot that should answer soonest.
 
+        An ejected upstream that is due a trial request gets it first. Deadlines and
+        failures weigh in as well.
+
         `unseen_requests` estimates the requests that other entries have sent and not
         reported yet. If each entry took the upstream that looks best, all would send to
         the same one; so each takes the best of a random sample of two or more, which is
         smaller the more requests are unseen.
 
         Where the first byte would be late at every upstream with a free slot, but on
-        time at one without, the request waits for that one.
+        time at one without, the request waits.
         """
         available = [
             state
@@ -338,17 +341,17 @@
     def choose_canary(
         self, requirements: Requirements, *, now_s: float, unseen_requests: float = 0.0
     ) -> UpstreamState | None:
-        """Return an upstream of a roll-out's target with a free slot, if there is one.
+        """Return an upstream of a roll-out's target, or None if none can be used now.
 
-        Every second time it is the most loaded one: a small share of the requests,
-        spread over all of them, would never show that a version fails under load.
+        A share of the requests goes to the most loaded one: few requests, spread over
+        all of them, would never show that a version fails under load.
         """
         available = [
             state
             for state in self._states_with(Access.CANARY)
             if state.health.usable(len(state.own_requests), now_s)
         ]
-        if self._random.random() < CANARY_PACKED_SHARE:
+        if self._random.random() < CANARY_MOST_LOADED_SHARE:
             available = sorted(
                 (s for s in available if s.free_slots() > 0), key=_most_loaded_first
             )[:1]
@@ -367,7 +370,7 @@
         ]
         if not free:
             return Selection(
-                upstream_state=None, worth_waiting=bool(requirements.excluded)
+                upstream_state=None, only_this_waits=bool(requirements.excluded)
             )
         on_time = [
             each
@@ -384,7 +387,7 @@
             if state.free_slots() <= 0
         )
         if any(each.first_byte_s <= requirements.first_byte_within_s for each in full):
-            return Selection(upstream_state=None, worth_waiting=True)
+            return Selection(upstream_state=None, only_this_waits=True)
         return Selection(
             upstream_state=self._best_state(free, requirements, unseen_requests)
         )
@@ -395,8 +398,8 @@
         requirements: Requirements,
         unseen_requests: float,
     ) -> UpstreamState:
-        # Sampled from all, slow upstreams would by chance get the longest answers,
-        # which would be cut off at their deadlines.
+        # If slow upstreams were sampled too, some would get long answers that are cut
+        # off at their deadlines.
         in_deadline = [
             each for each in candidates if each.total_s <= requirements.remaining_s
         ]
@@ -405,22 +408,22 @@
             (
                 _cost_s(each, requirements)
                 * self._random.uniform(1.0, 1.0 + COST_JITTER),
-                number,
+                index,
             )
-            for number, each in enumerate(sampled)
+            for index, each in enumerate(sampled)
         ]
         return sampled[min(costs)[1]].state
 
     def _sample(
         self, candidates: list[_Candidate], unseen_requests: float
     ) -> list[_Candidate]:
-        """Return the candidates to compare: all, or one in `unseen_requests`."""
-        sampled = max(
+        """Return all candidates or one in `unseen_requests`, at least `SAMPLE_MIN`."""
+        sample_size = max(
             SAMPLE_MIN, math.ceil(len(candidates) / max(1.0, unseen_requests))
         )
-        if sampled >= len(candidates):
+        if sample_size >= len(candidates):
             return candidates
-        return self._random.sample(candidates, sampled)
+        return self._random.sample(candidates, sample_size)
 
     def _open_states(self) -> list[UpstreamState]:
         return self._states_with(Access.OPEN)
@@ -450,7 +453,7 @@
 
 
 def _cost_s(candidate: _Candidate, requirements: Requirements) -> float:
-    """Return the expected time to the first byte, with penalties."""
+    """Return the expected time to the first byte, with weighted extra costs."""
     cost_s = candidate.first_byte_s + candidate.answer_s * ANSWER_TIME_WEIGHT
     if candidate.total_s > requirements.remaining_s:
         cost_s += DEADLINE_PENALTY_S
--- a/lavenderspoke/direct/quota.py
+++ b/lavenderspoke/direct/quota.py
@@ -1,25 +1,24 @@
 """Customers' rate limits, shared by all entries without a call for each request.
 
-A limit counts over a sliding window: within any `window_s`, a customer may use what its
-rate gives in that time and its burst, and a share of what the platform tolerates beyond
-that. An entry counts its own requests at once, and those of the other entries when they
-report them, several times a second.
+A limit counts over a sliding window: within any `window_s`, a customer may use at most
+its rate times the window plus its burst, and a share of the platform's tolerance. An
+entry counts its own requests at once, and those of the other entries when they report
+them, several times a second.
 
 Two rules are added to the window. A leaky bucket, which empties at the window's mean
-rate, spreads the use: a customer could otherwise use its whole window in the first
-second and get nothing for the seven after it, and an entry that starts can't know
-whether that second was just before. And what is left of a limit goes to the highest
-ranks first, as slots at upstreams do: spent in order of arrival, it is used up by cheap
-requests of low ranks, and the highest one is refused.
+rate, spreads the use. Otherwise a customer could use a window of 8 s in its first
+second and get nothing for the other seven, and an entry that starts can't know whether
+that has just happened. And what is left of a limit goes to the highest ranks first, as
+slots at upstreams do: in order of arrival, cheap requests of low ranks would use it up,
+and the highest rank would be refused.
 
 An entry that hears nothing from some peers can't know what they admit. Each side of a
 partition then keeps to its share of the limit, so that the sum over all entries stays
 within it, whatever the partition.
 
-An entry that has just started doesn't know the use in the window before. Since use is
-spread, this was at most the bucket and that time's part of the mean rate. So the entry
-may admit what has become free since its start, and a share of what the platform
-tolerates.
+An entry that has just started doesn't know the use in the window before. Because of
+the bucket, it was at most the bucket's capacity plus the mean rate times that time. So
+the entry may admit what has become free since its start, and a share of the tolerance.
 """
 
 import attrs
@@ -28,18 +27,22 @@
 from lavenderspoke.direct.usage import Usage, UsageRows
 
 # What the platform tolerates beyond a limit is divided so that all entries may be
-# killed at any moment: one share is admitted all the time, one covers what the bucket
-# may have let through just before, and one is admitted after the start. The rest covers
-# what entries admit before they hear of each other's use.
+# killed at any moment. The rest covers what entries admit before they hear of each
+# other's use.
+# Share that may be admitted at all times:
 STEADY_SHARE = 0.2
+# Share for the bucket's capacity, which may have been admitted just before the kill:
 CAPACITY_SHARE = 0.3
+# Share that may be admitted in the window after the start:
 START_SHARE = 0.35
-# Entries report to each other less often the more there are: with this many more, the
-# use that isn't reported yet doubles, and `STEADY_SHARE` is halved.
+# Entries report to each other less often the more there are. Per this many known
+# entries, unreported use grows by its initial amount, and `STEADY_SHARE` is divided
+# accordingly.
 STEADY_ENTRIES = 6
 # The least capacity of the bucket, in seconds of the customer's rate.
 CAPACITY_MIN_S = 0.5
-# Share of a limit that lower ranks get in any case, so that none starves.
+# Share of a limit that lower ranks may use whatever the higher ones have requested, so
+# that none starves.
 LOWER_RANK_SHARE = 0.1
 # Share of the bucket that lower ranks may fill while their customer is near its limit:
 # the highest rank must find capacity left.
@@ -50,8 +53,8 @@
 # every burst of long prompts, at a fifth of their customer's limit.
 NEAR_LIMIT_SHARE = 0.6
 # Share of the tolerated tokens by which the last request before the limit may exceed
-# it. Otherwise, near an exhausted limit, requests would be admitted the more often the
-# smaller they are, and the largest ones never.
+# it. Otherwise small requests would use up what becomes free before it suffices for a
+# large one.
 OVERSHOOT_SHARE = 0.2
 
 
@@ -72,7 +75,9 @@
 
 
 class SharedQuota:
-    """The limits as one entry counts them; times are in seconds.
+    """The limits as one entry counts them.
+
+    Times are in seconds, and `rank` is the route's rank.
 
     >>> quota = SharedQuota(window_s=1.0)
     >>> customer = Customer(name="c", keys=(), rank=0, per_s=2.0, burst=3.0,
@@ -88,7 +93,7 @@
         self._window_s = window_s
         self._tolerance = tolerance
         self._usages: dict[str, Usage] = {}
-        self._entry_share = 1.0
+        self._live_share = 1.0
         self._known_entries = 1
         self._peer_totals: dict[tuple[str, str], dict[str, UsageRows]] = {}
 
@@ -99,7 +104,7 @@
         """
         for customer in customers:
             if customer.per_s > 0.0:
-                self._usage(customer, now_s)
+                self._advanced_usage(customer, now_s)
 
     def set_window(self, window_s: float, tolerance: Tolerance) -> None:
         """Change the length of the window and the tolerance."""
@@ -109,7 +114,7 @@
     def set_entry_counts(self, *, live: int, known: int) -> None:
         """Set how many entries are known and live, this one included."""
         self._known_entries = max(1, known)
-        self._entry_share = live / self._known_entries
+        self._live_share = live / self._known_entries
 
     def spend(
         self,
@@ -120,13 +125,13 @@
         now_s: float,
         resubmitted: bool = False,
     ) -> bool:
-        """Count a request's cost, or return False when it exceeds the limit.
+        """Count a request's cost if limit and bucket allow it; return whether they do.
 
         A `resubmitted` request was refused before and counts as requested already.
         """
         if customer.per_s <= 0.0:
             return True
-        usage = self._usage(customer, now_s)
+        usage = self._advanced_usage(customer, now_s)
         if not resubmitted:
             usage.record_request(rank, cost, now_s)
         if self._excess(customer, usage, cost, rank, now_s) > 0.0:
@@ -141,34 +146,34 @@
     ) -> None:
         """Take back the cost of a request that never ran."""
         if customer.per_s > 0.0 and customer.name in self._usages:
-            self._usage(customer, now_s).refund(rank, cost)
+            self._advanced_usage(customer, now_s).refund(rank, cost)
 
     def wait_s(
         self, customer: Customer, cost: float, *, rank: int, now_s: float
     ) -> float:
-        """Return in how many seconds a request of that cost could be admitted."""
+        """Estimate in how many seconds a request of that cost could be admitted."""
         if customer.per_s <= 0.0:
             return 0.0
-        usage = self._usage(customer, now_s)
+        usage = self._advanced_usage(customer, now_s)
         excess = self._excess(customer, usage, cost, rank, now_s)
         wait_s = usage.wait_to_free_s(excess, now_s, self._window_s)
         if self._is_bucket_full(customer, usage, rank):
             overflow = usage.bucket_level - self._bucket_capacity(customer, usage, rank)
-            wait_s = max(wait_s, overflow / self._mean_per_s(customer))
+            wait_s = max(wait_s, overflow / self._steady_per_s(customer))
         return min(wait_s, self._window_s)
 
     def explain(
         self, customer: Customer, cost: float, *, rank: int, now_s: float
     ) -> str:
         """Return why a request exceeds the limit, for the log."""
-        usage = self._usage(customer, now_s)
+        usage = self._advanced_usage(customer, now_s)
         limit = self._current_limit(customer, usage, now_s)
         return (
             f"{usage.used():.0f} used in {self._window_s:g} s, {cost:.0f} requested, "
             f"limit {limit:.0f}, {usage.requested_above(rank):.0f} requested by higher "
             f"ranks; bucket at {usage.bucket_level:.0f} "
             f"of {self._bucket_capacity(customer, usage, rank):.0f}; "
-            f"{self._entry_share:.2f} of the entries are live"
+            f"{self._live_share:.2f} of the entries count as live"
         )
 
     def spent(self) -> dict[str, UsageRows]:
@@ -190,21 +195,20 @@
                 continue
             usage.advance(now_s, self._window_s)
             if before is None and not usage.covers_window(now_s, self._window_s):
-                # What a peer admitted before this entry knew of it is covered by the
-                # part of the window that counts as used. Counted as if it had all
-                # just been admitted, hours of use would exhaust the limit for a
-                # window at every entry that starts.
+                # The limit of a new entry already allows for use before its start.
+                # If a peer's total since its own start were added now, hours of use
+                # would exhaust the limit for a window.
                 continue
             usage.merge_peer((before or {}).get(customer, ()), rows, now_s)
         for key in [each for each in self._peer_totals if each[0] == name]:
             del self._peer_totals[key]
         self._peer_totals[name, incarnation] = (before or {}) | spent
 
-    def _usage(self, customer: Customer, now_s: float) -> Usage:
+    def _advanced_usage(self, customer: Customer, now_s: float) -> Usage:
         usage = self._usages.get(customer.name)
         if usage is None:
-            usage = self._usages[customer.name] = Usage(since_s=now_s, at_s=now_s)
-        usage.leak_per_s = self._mean_per_s(customer) * self._entry_share
+            usage = self._usages[customer.name] = Usage(since_s=now_s, advanced_s=now_s)
+        usage.leak_per_s = self._steady_per_s(customer) * self._live_share
         usage.advance(now_s, self._window_s)
         return usage
 
@@ -220,13 +224,14 @@
         return excess - min(cost, self._tolerance.of_tokens(customer) * OVERSHOOT_SHARE)
 
     def _is_bucket_full(self, customer: Customer, usage: Usage, rank: int) -> bool:
+        # Without capacity, an empty bucket isn't full.
         return usage.bucket_level >= max(
             1e-9, self._bucket_capacity(customer, usage, rank)
         )
 
     def _bucket_capacity(self, customer: Customer, usage: Usage, rank: int) -> float:
-        capacity = self._total_capacity(customer) * self._entry_share
-        own_limit = self._window_limit(customer) * self._entry_share
+        capacity = self._total_capacity(customer) * self._live_share
+        own_limit = self._window_limit(customer) * self._live_share
         is_near = usage.used() > own_limit * NEAR_LIMIT_SHARE
         uses_its_share = usage.used_at_or_below(rank) > own_limit * LOWER_RANK_SHARE
         if is_near and uses_its_share and usage.requested_above(rank) > 0.0:
@@ -246,17 +251,17 @@
             freed = limit * (now_s - usage.since_s) / self._window_s
             tolerated = self._tolerance.of(customer, self._window_limit(customer))
             limit = min(limit, freed + tolerated * START_SHARE)
-        return limit * self._entry_share
+        return limit * self._live_share
 
     def _window_limit(self, customer: Customer) -> float:
         return customer.per_s * self._window_s + customer.burst
 
     def _steady_limit(self, customer: Customer) -> float:
-        """Return the window's limit and the tolerance that may always be used."""
+        """Return the window's limit plus the tolerance that may always be used."""
         window_limit = self._window_limit(customer)
         tolerated = self._tolerance.of(customer, window_limit)
         share = STEADY_SHARE / (1 + self._known_entries // STEADY_ENTRIES)
         return window_limit + tolerated * share
 
-    def _mean_per_s(self, customer: Customer) -> float:
+    def _steady_per_s(self, customer: Customer) -> float:
         return self._steady_limit(customer) / self._window_s
--- a/lavenderspoke/direct/rankrates.py
+++ b/lavenderspoke/direct/rankrates.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-# Time constant of the arrival rate: long enough for a rate, short enough to notice a
-# burst while it lasts.
+# Time constant of the arrival rate: long enough to average over single arrivals, short
+# enough to notice a burst while it lasts.
 ARRIVAL_TIME_CONSTANT_S = 2.0
 # Mean hold time of a slot before one was measured.
 HOLD_INITIAL_S = 0.4
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class RankRates:
-    """The rates of one rank at one entry.
+    """Arrival rate and mean hold time of one rank at one entry.
 
     >>> rates = RankRates()
     >>> rates.record_arrival(0.0)
--- a/lavenderspoke/direct/scheduler.py
+++ b/lavenderspoke/direct/scheduler.py
@@ -10,14 +10,14 @@
 every answer late. Then requests that were refused before and resubmitted go ahead of
 new ones, and then short expected answers ahead of long ones: a tenth of the answers
 take half of all engine time, and one of them holds the slot in which ten others could
-be answered on time. Only while the longest answers of a rank are served far less often
-than all of it does one of them go next.
+be answered on time. A long answer goes next only while long ones are dispatched far
+less often than the answers of their rank on average.
 
 A request is refused as soon as it can't be dispatched in time. Kept longer, it would
 only delay the caller's retry; refused at once with a Retry-After, it is resubmitted
 when the burst has passed.
 
-All times are seconds on the clock that the caller of these methods passes in.
+All times are in seconds on one clock; `now_s` is its current time.
 """
 
 import math
@@ -49,34 +49,36 @@
 from lavenderspoke.rollouts.canarysplit import CanarySplitter
 from lavenderspoke.rollouts.orders import Access
 
-# Share of all slots reserved for each active higher rank, against requests that hold a
-# slot for `LONG_HOLD_S` or longer. Answers of the lowest rank last seconds; with one
-# slot in eight free, the highest rank rarely waits for one to end. Against shorter
-# ones, which release their slot in time, less is reserved.
+# Share of all slots that requests which hold a slot for `LONG_HOLD_S` or longer leave
+# free for each active higher rank. Answers of the lowest rank last seconds; with one
+# slot in eight free, the highest rank rarely waits for one to end. Shorter ones, which
+# release their slot in time, leave less free.
 RESERVED_SHARE = 0.12
-# Upper bound of that share for any number of higher ranks. Ranks are customers' times
-# routes', and each slot reserved beyond what the highest ones need in a burst is one in
-# which a request of the lowest could be served.
+# Upper bound of that share for any number of higher ranks. There are as many ranks as
+# customer ranks times route ranks, and each slot reserved beyond the need of the
+# highest ones in a burst could serve a request of the lowest.
 RESERVED_SHARE_MAX = 0.24
 # Mean hold time of a rank from which the whole reserve applies to it: a request of the
 # highest rank that waits that long for a slot misses its target.
 LONG_HOLD_S = 1.0
 # Share of all slots that is guaranteed to the ranks below the highest, split evenly.
-# Just enough that each is served: every slot beyond it is taken from the highest rank
-# when it is short.
+# Just enough that each is served: when slots are short, each further one would be
+# missing for the highest rank.
 GUARANTEED_SHARE = 0.1
 # Share of its remaining time that a request of the highest rank waits at most, even if
 # it will be late: nothing ranks above it, so its turn comes.
 HIGHEST_RANK_WAIT_SHARE = 0.5
 # Share of its remaining time that a resubmitted request waits at most.
 RESUBMITTED_WAIT_SHARE = 0.25
-# A request is refused on arrival if its expected wait exceeds this multiple of its
-# longest one: the estimate is rough, and waiting on time costs its caller little.
+# A request is refused on arrival if its expected wait exceeds this multiple of the
+# longest wait allowed: the estimate is rough, and a wait that ends in time costs
+# little.
 EXPECTED_WAIT_TOLERANCE = 2.0
-# Time between the end of the longest wait and the deadline: an answer that begins with
+# Time before the deadline that is never used for waiting: an answer that begins with
 # less left would be cut off.
-SERVICE_MARGIN_S = 0.15
-# Retry-After is at most this share of the time until the deadline.
+DEADLINE_MARGIN_S = 0.15
+# Retry-After is at most this share of the time until the deadline, and otherwise at
+# least `RETRY_AFTER_MIN_S`.
 RETRY_AFTER_MAX_SHARE = 1 / 3
 RETRY_AFTER_MIN_S = 0.3
 # Retry-After is the expected wait times a random factor in this range, so that
@@ -127,7 +129,7 @@
         )
         self._reserve = AdaptiveReserve()
         self._last_seen_s: dict[Rank, float] = {}
-        self._immediate: Ticket | None = None
+        self._no_wait_ticket: Ticket | None = None
         self._last_number = 0
 
     def waiting(self) -> dict[Rank, int]:
@@ -145,7 +147,8 @@
         ticket.is_late = now_s >= ticket.on_time_until_s
         self._last_seen_s[ticket.rank] = now_s
         wait_max_s = 0.0
-        # A request that may not wait runs already, and may be submitted repeatedly.
+        # Without `may_wait`, a request that runs already looks for another upstream,
+        # perhaps repeatedly: it is no new arrival.
         if ticket.may_wait:
             self._rates_of(ticket.rank).record_arrival(now_s)
             if not ticket.resubmitted:
@@ -184,16 +187,17 @@
 
     def _decide_immediately(self, ticket: Ticket, now_s: float) -> None:
         """Dispatch a request if a slot is free for it, otherwise refuse it."""
+        # Infinite, so that it isn't refused as expired before the refusal below.
         ticket.waits_until_s = math.inf
         self._add(ticket)
-        self._immediate = ticket
+        self._no_wait_ticket = ticket
         self.dispatch_waiting(now_s)
-        self._immediate = None
+        self._no_wait_ticket = None
         if self.withdraw(ticket):
             ticket.on_decision(self._refusal(ticket, Refusal.CROWDED, now_s))
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Remove a request whose caller has gone; return False if it wasn't waiting."""
+        """Remove a request from the queue; return whether it was waiting."""
         if ticket not in self._waiting:
             return False
         self._remove(ticket)
@@ -217,7 +221,7 @@
     ) -> float:
         """Record the first event of an answer: the prompt has been read.
 
-        Returns by how many seconds it came later than expected.
+        Returns by how many seconds it came later than expected, negative if earlier.
         """
         state = self.pool.state_of(upstream_id)
         if state is not None and ticket.request_id in state.own_requests:
@@ -242,7 +246,7 @@
         """
         self._expire_and_reorder(now_s)
         skipped: set[int] = set()
-        while ticket := self._next_ticket(skipped, now_s, is_own_slot=freed_slots > 0):
+        while ticket := self._next_ticket(skipped, now_s, freed_here=freed_slots > 0):
             freed_slots -= 1
             selection = self.pool.choose(
                 _requirements(ticket, now_s),
@@ -251,7 +255,7 @@
             )
             if selection.upstream_state is not None:
                 self._dispatch(ticket, selection.upstream_state, now_s)
-            elif selection.worth_waiting:
+            elif selection.only_this_waits:
                 # Only this request waits for another upstream.
                 skipped.add(ticket.number)
             else:
@@ -270,24 +274,25 @@
                 self._waiting.add(ticket)
 
     def _next_ticket(
-        self, skipped: set[int], now_s: float, *, is_own_slot: bool
+        self, skipped: set[int], now_s: float, *, freed_here: bool
     ) -> Ticket | None:
         """Return the next request to dispatch, if any.
 
-        `is_own_slot` tells that a request of this entry has freed a slot.
+        `freed_here` tells that a request of this entry has freed a slot. The other
+        entries don't know that yet, so it isn't shared with them.
         """
-        heads = self._heads(skipped)
-        if not heads:
+        firsts = self._first_by_rank(skipped)
+        if not firsts:
             return None
         free_slots = self.pool.free_slots(now_s)
         if free_slots <= 0:
             return None
         slots = self.pool.slots()
         active_ranks = self._active_ranks(now_s)
-        for rank in sorted(heads, reverse=True):
+        for rank in sorted(firsts, reverse=True):
             if self._is_below_guarantee(rank, active_ranks, slots):
-                return heads[rank]
-        for rank in sorted(heads):
+                return firsts[rank]
+        for rank in sorted(firsts):
             needed_by_peers = sum(
                 n for r, n in self.peer_counts.waiting.items() if r < rank
             )
@@ -295,33 +300,35 @@
                 free_slots - self._reserved_slots(rank, active_ranks) - needed_by_peers
             )
             if free > 0:
-                if is_own_slot or self._claims_slot(heads[rank], free):
-                    return heads[rank]
-                return self._immediate_ticket(rank, skipped)
+                if freed_here or self._claims_slot(firsts[rank], free):
+                    return firsts[rank]
+                # Slots not claimed are left to other entries, not to lower ranks. Only
+                # a request that may not wait takes one all the same.
+                return self._match_no_wait_ticket(rank, skipped)
         return None
 
-    def _immediate_ticket(self, rank: Rank, skipped: set[int]) -> Ticket | None:
-        """Return the request being decided immediately, if it has that rank."""
-        ticket = self._immediate
+    def _match_no_wait_ticket(self, rank: Rank, skipped: set[int]) -> Ticket | None:
+        """Return the request that may not wait, if it has that rank."""
+        ticket = self._no_wait_ticket
         if ticket is None or ticket.rank != rank or ticket.number in skipped:
             return None
         return ticket if ticket in self._waiting else None
 
-    def _heads(self, skipped: set[int]) -> dict[Rank, Ticket]:
-        """Return the request that goes first within each rank."""
-        heads: dict[Rank, Ticket] = {}
-        long_heads: dict[Rank, Ticket] = {}
+    def _first_by_rank(self, skipped: set[int]) -> dict[Rank, Ticket]:
+        """Return the first request of each rank, preferring underserved long ones."""
+        firsts: dict[Rank, Ticket] = {}
+        long_firsts: dict[Rank, Ticket] = {}
         for ticket in self._waiting:
             if ticket.number not in skipped:
-                heads.setdefault(ticket.rank, ticket)
+                firsts.setdefault(ticket.rank, ticket)
                 if self._is_underserved(ticket):
-                    long_heads.setdefault(ticket.rank, ticket)
-        return heads | long_heads
+                    long_firsts.setdefault(ticket.rank, ticket)
+        return firsts | long_firsts
 
     def _is_underserved(self, ticket: Ticket) -> bool:
-        """Return whether a request is long for its rank and these are underserved."""
+        """Return whether a request is long, and long ones of its rank underserved."""
         lengths = self._answer_lengths[ticket.rank]
-        return lengths.is_long(ticket.answer_tokens) and lengths.is_long_underserved()
+        return lengths.is_long(ticket.answer_tokens) and lengths.are_long_underserved()
 
     def _claims_slot(self, ticket: Ticket, free: float) -> bool:
         """Return whether a request takes one of the slots that are free for its rank.
@@ -329,8 +336,7 @@
         Other entries with waiting requests of that rank see the same slots free, and
         learn only later who took one. If each took what it sees, several requests would
         be sent to one slot and queue at the upstream. So each takes its share of them,
-        at random. A slot freed by this entry's own request is exempt, since the others
-        don't know yet that it is free.
+        at random.
         """
         others = self.peer_counts.waiting.get(ticket.rank, 0)
         if not others:
@@ -409,7 +415,7 @@
     def _wait_max_s(self, ticket: Ticket, now_s: float) -> float:
         """Return how long a request may wait at most from now on."""
         latest_s = min(ticket.deadline_s, ticket.idle_since_s + ticket.patience_s)
-        remaining_s = latest_s - now_s - SERVICE_MARGIN_S
+        remaining_s = latest_s - now_s - DEADLINE_MARGIN_S
         if ticket.resubmitted:
             return remaining_s * RESUBMITTED_WAIT_SHARE
         if ticket.rank == min(self._active_ranks(now_s)):
@@ -419,8 +425,8 @@
     def _expected_wait_s(self, ticket: Ticket, now_s: float) -> float:
         """Return the expected wait of a request.
 
-        Slots become free at the rate of slots over the mean hold time. Higher ranks
-        take theirs first, except for the share guaranteed to its rank.
+        Slots become free at slots / mean hold time per second. Higher ranks take theirs
+        first, except the share guaranteed to this request's rank.
         """
         rank, slots = ticket.rank, max(1, self.pool.slots())
         own_ahead = 0
@@ -465,8 +471,8 @@
     return Requirements(
         prompt_tokens=ticket.prompt_tokens,
         answer_tokens=ticket.answer_tokens,
-        # A late request doesn't wait for a faster upstream: any that begins to answer
-        # by the deadline will do.
+        # A request past its target doesn't wait for a faster upstream: any that begins
+        # to answer by the deadline will do.
         first_byte_within_s=(
             remaining_on_time_s if remaining_on_time_s > 0.0 else remaining_s
         ),
@@ -481,7 +487,8 @@
 
     Not thread-safe: its owner holds a lock. `peer_loads()`, by upstream, and
     `peer_counts(service)` return the other entries' last reports. `access` tells which
-    requests an upstream may get, and `canary(service)` which go to a roll-out's target.
+    requests an upstream may get; `canary(service)` returns the splitter of a running
+    roll-out, or None.
     """
 
     def __init__(
@@ -529,9 +536,9 @@
 
     def tick(self, now_s: float) -> None:
         """Apply the peers' reports, refuse expired requests and dispatch others."""
-        running = self._peer_loads()
+        peer_loads = self._peer_loads()
         for service, queue in self._queues.items():
-            queue.pool.update_peer_loads(running)
+            queue.pool.update_peer_loads(peer_loads)
             queue.pool.expire_evictions(now_s)
             queue.peer_counts = self._peer_counts(service)
             queue.update_reserve(now_s)
--- a/lavenderspoke/direct/sharing.py
+++ b/lavenderspoke/direct/sharing.py
@@ -13,22 +13,23 @@
 # An entry not heard from for this long is no longer live: at least three of the
 # messages due in that time would have to be lost.
 LIVE_TIMEOUT_S = 1.0
-# A neighbour that sent nothing itself for this long doesn't relay the states of its
-# group: even if nothing changes, a message is due every 0.3 s.
-DIRECT_TIMEOUT_S = 0.5
-# An entry not heard from for this long is taken as gone. It is long, since an entry
-# that is only partitioned may still admit requests.
+# Time after which an entry no longer counts as heard directly, and isn't expected to
+# forward for its group. Even if nothing changes, a message is due every 0.3 s.
+DIRECTLY_HEARD_TIMEOUT_S = 0.5
+# An entry not heard from for this long is removed. It is long, since an entry that is
+# only partitioned may still admit requests.
 EXPIRY_S = 20.0
-# Mean time until a state is replaced by the next one, before any was.
+# Assumed interval between two states of an entry, until one is measured.
 STATE_INTERVAL_INITIAL_S = 0.1
 # Weight of the newest state in that mean.
 STATE_INTERVAL_WEIGHT = 0.01
 # For how long relayed states of an ended incarnation are rejected: longer than a
-# message takes through two entries, one of which is slow.
+# message takes by way of two entries, one of which is slow.
 ENDED_INCARNATION_S = 3.0
 # How long after its first attempt a refused request may be resubmitted: callers retry
-# within a third of the time they have.
+# within a third of the time they have (`RETRY_AFTER_MAX_SHARE`).
 RESUBMISSION_S = 12.0
+# Refusals remembered at most; the oldest are dropped.
 RESUBMISSIONS_MAX = 4096
 
 
@@ -42,17 +43,17 @@
 
 @attrs.define(kw_only=True)
 class _Peer:
-    """`seen_s` is when the entry was last listed or heard from.
+    """Another entry; `seen_s` is when it was first listed or last heard from.
 
     `heard_s` is the time of its last state, which others may have relayed, and
-    `heard_directly_s` the time of the last one that it sent itself. `number` is the
-    sequence number of its last state.
+    `heard_directly_s` the time of the last one that it sent itself. `sequence_number`
+    is that of its last state.
     """
 
     location: EntryLocation
     seen_s: float
     incarnation: str = ""
-    number: int = -1
+    sequence_number: int = -1
     heard_s: float | None = None
     heard_directly_s: float | None = None
 
@@ -127,7 +128,7 @@
             ),
             seen_s=now_s,
             incarnation=sender.incarnation,
-            number=state.number,
+            sequence_number=state.number,
             heard_s=now_s - (age_s or 0.0),
             heard_directly_s=now_s if age_s is None else heard_directly_s,
         )
@@ -152,7 +153,7 @@
             name
             for name, peer in self._peers.items()
             if peer.heard_directly_s is not None
-            and now_s < peer.heard_directly_s + DIRECT_TIMEOUT_S
+            and now_s < peer.heard_directly_s + DIRECTLY_HEARD_TIMEOUT_S
         ]
 
     def remove_expired(self, now_s: float) -> list[str]:
@@ -174,7 +175,8 @@
 
     def counts(self, service: str) -> PeerCounts:
         """Return the counts of the live entries for one service."""
-        # A state's age grows from zero until it is replaced, so the mean is half of it.
+        # A state's age grows from zero until it is replaced: its mean is half the
+        # interval.
         return self._totals.counts(service, age_s=self._state_interval_s / 2.0)
 
     def live_and_known_counts(self, now_s: float) -> tuple[int, int]:
@@ -189,7 +191,7 @@
     ) -> bool:
         peer = self._peers.get(sender.name)
         if peer is not None and peer.incarnation == sender.incarnation:
-            return state.number <= peer.number
+            return state.number <= peer.sequence_number
         ended_s = self._ended_incarnations.get(sender)
         return (
             age_s is not None
@@ -231,7 +233,10 @@
         self._unsent.append(fingerprint)
 
     def record_peer_refusals(self, fingerprints: tuple[str, ...], now_s: float) -> None:
-        """Record refusals by another entry, which reports them at once."""
+        """Record refusals by another entry, which reports them at once.
+
+        Their first attempts are taken to be now, since the report doesn't tell.
+        """
         for fingerprint in fingerprints:
             self._remember(fingerprint, now_s)
 
--- a/lavenderspoke/direct/startuphold.py
+++ b/lavenderspoke/direct/startuphold.py
@@ -9,14 +9,15 @@
 # 20 ms; if it doesn't answer within this time it is unavailable, and callers had better
 # get an error.
 HOLD_MAX_S = 0.8
+# How often held requests check whether the entry is ready.
 POLL_S = 0.005
 
 
 class StartupHold:
     """Holds requests while an entry starts.
 
-    Otherwise, requests that wait at the port while the entry starts would all be
-    refused in the milliseconds before the first configuration is read.
+    Otherwise, requests that wait in the listen queue while the entry starts would all
+    be refused in the milliseconds before the first configuration is read.
     """
 
     def __init__(self, *, is_ready: Callable[[], bool], clock: Clock):
@@ -25,6 +26,7 @@
         self._created_s = clock.monotonic_s()
         self._hold_until_s: float | None = None
         self._is_released = False
+        # Never set; waiting on it is a sleep.
         self._pause = threading.Event()
 
     def is_over(self) -> bool:
--- a/lavenderspoke/direct/tickets.py
+++ b/lavenderspoke/direct/tickets.py
@@ -1,6 +1,6 @@
 """Requests in a queue, and the decisions on them.
 
-All times are in seconds on the clock of the scheduler's caller.
+All times are in seconds on the scheduler's clock.
 """
 
 import enum
@@ -11,8 +11,8 @@
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.pool import LatencyEstimate
 
-# Share of its target that a request waits at most, so that its first byte can still
-# be on time.
+# Share of its target after which a waiting request counts as late: its first byte could
+# hardly be on time then.
 ON_TIME_WAIT_SHARE = 0.7
 
 Rank = tuple[int, int]
@@ -53,12 +53,13 @@
     caller gives up `patience_s` after `idle_since_s`, when the request arrived or
     the last event of its stream came. `excluded` names upstreams that it was sent to
     before. A `retryable` request may be sent to another upstream after it failed. One
-    without `may_wait` is decided before `submit` returns.
+    without `may_wait` is decided before `submit` returns. It is `resubmitted` if it was
+    refused, or sent to an upstream, before.
 
     On dispatch, `estimate` is set together with the expected time and number of engine
     steps until the first byte. `first_event_s` is when the first event arrived, and
-    `events` how many a complete stream had. `on_decision` is called once, under the
-    scheduler's lock, so it must not block.
+    `events` the number of events of a complete stream. `on_decision` is called once,
+    under the scheduler's lock, so it must not block.
     """
 
     request_id: str
--- a/lavenderspoke/direct/usage.py
+++ b/lavenderspoke/direct/usage.py
@@ -5,7 +5,7 @@
 import attrs
 
 UsageRows = tuple[tuple[int, float, float], ...]
-"""Rank, and what an entry admitted and what was requested there since its start."""
+"""Route rank, and the costs that an entry admitted and that were requested there."""
 
 
 @attrs.define(kw_only=True)
@@ -52,7 +52,7 @@
     """
 
     since_s: float
-    at_s: float
+    advanced_s: float
     leak_per_s: float = 0.0
     bucket_level: float = 0.0
     _used: defaultdict[int, _Window] = attrs.field(factory=_windows)
@@ -66,9 +66,9 @@
         """Drop what has left the window, and let the bucket leak up to now."""
         for window in (*self._used.values(), *self._requested.values()):
             window.expire(now_s - window_s)
-        leaked = max(0.0, now_s - self.at_s) * self.leak_per_s
+        leaked = max(0.0, now_s - self.advanced_s) * self.leak_per_s
         self.bucket_level = max(0.0, self.bucket_level - leaked)
-        self.at_s = now_s
+        self.advanced_s = now_s
 
     def covers_window(self, now_s: float, window_s: float) -> bool:
         """Return whether the use in the whole window is known."""
@@ -98,7 +98,7 @@
         self.bucket_level += cost
 
     def refund(self, rank: int, cost: float) -> None:
-        """Take back what this entry admitted and what never ran."""
+        """Take back the cost of an admitted request that never ran."""
         self._used[rank].subtract(cost)
         self._own_used[rank] -= cost
         self.bucket_level = max(0.0, self.bucket_level - cost)
--- a/lavenderspoke/direct/verdicts.py
+++ b/lavenderspoke/direct/verdicts.py
@@ -18,8 +18,8 @@
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.poison import CrashEvidence
 
-# Time after which all requests to an upstream's previous start have been aborted: their
-# threads only have to wake up.
+# Time after which all requests to an upstream's previous incarnation have been aborted:
+# their threads only have to wake up.
 RESTART_SETTLED_S = 0.2
 EJECTIONS = "upstreams_left_alone"
 
@@ -28,7 +28,11 @@
 
 @attrs.frozen(kw_only=True)
 class UpstreamFindings:
-    """Upstreams to be reported to the other entries, by what was found."""
+    """Upstreams to be reported to the other entries.
+
+    Another incarnation answers at the address of those `gone`, no connection could be
+    made to those `unreached`, and those `failing` were ejected as outliers.
+    """
 
     gone: tuple[str, ...]
     unreached: tuple[str, ...]
@@ -36,8 +40,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Restarted:
-    """An upstream's previous start, and when the new one was noticed."""
+class _EndedIncarnation:
+    """An upstream's previous incarnation, and when the new one was noticed."""
 
     upstream: Upstream
     at_s: float
@@ -60,12 +64,12 @@
         self._unreached_reports = PeerReports()
         self._failing_reports = PeerReports()
         self._listed: dict[str, Upstream] = {}
-        self._restarted: list[_Restarted] = []
+        self._restarted: list[_EndedIncarnation] = []
 
     def update_listed(
         self, upstreams: tuple[Upstream, ...], now_s: float
     ) -> list[Upstream]:
-        """Apply the platform's list; return the old starts of restarted upstreams."""
+        """Apply the platform's list; return the ended incarnations."""
         listed = {each.upstream_id: each for each in upstreams}
         names = {each.name for each in upstreams}
         restarted = [
@@ -76,7 +80,9 @@
         self._listed = listed
         self._unreached_reports.retain(set(listed))
         self._failing_reports.retain(set(listed))
-        self._restarted += [_Restarted(upstream=e, at_s=now_s) for e in restarted]
+        self._restarted += [
+            _EndedIncarnation(upstream=e, at_s=now_s) for e in restarted
+        ]
         return restarted
 
     def record_attempt(
@@ -93,10 +99,10 @@
         elif outcome is AttemptOutcome.BROKEN:
             self.crashes.record_broken_answer(upstream.upstream_id, fingerprint, now_s)
         elif outcome is AttemptOutcome.UNREACHABLE:
-            self._record_crash(upstream, now_s)
+            self._check_crash(upstream, now_s)
             self._unreached.add(upstream.upstream_id)
         elif outcome is AttemptOutcome.MISDIRECTED:
-            self._record_crash(upstream, now_s)
+            self._check_crash(upstream, now_s)
             self._evict(upstream.upstream_id, now_s)
             self._gone.add(upstream.upstream_id)
         upstream_state = self._scheduler.queue(upstream.service).pool.state_of(
@@ -127,11 +133,11 @@
             self._record_failing_report(upstream_id, by, state.data_centre, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Record a restart as a crash once requests to the old start are aborted."""
+        """Check restarts for a crash once requests to the old incarnation ended."""
         settled = [e for e in self._restarted if now_s >= e.at_s + RESTART_SETTLED_S]
         for each in settled:
             self._restarted.remove(each)
-            self._record_crash(each.upstream, now_s)
+            self._check_crash(each.upstream, now_s)
 
     def take_findings(self) -> UpstreamFindings:
         """Return the findings since the last call, and clear them."""
@@ -174,10 +180,10 @@
     def _record_unreached_report(
         self, upstream_id: str, by: str, data_centre: str, now_s: float
     ) -> None:
-        is_away = self._unreached_reports.record(
+        is_unreachable = self._unreached_reports.record(
             upstream_id, by=by, data_centre=data_centre, now_s=now_s
         )
-        if not is_away:
+        if not is_unreachable:
             return
         for queue in self._scheduler.queues().values():
             upstream_state = queue.pool.state_of(upstream_id)
@@ -201,7 +207,7 @@
         for queue in self._scheduler.queues().values():
             queue.pool.evict(upstream_id, now_s)
 
-    def _record_crash(self, upstream: Upstream, now_s: float) -> None:
+    def _check_crash(self, upstream: Upstream, now_s: float) -> None:
         evidence = self.crashes.record_unreachable(
             upstream.service, upstream.upstream_id, now_s
         )
