--- a/features/direct_limits.feature
+++ b/features/direct_limits.feature
@@ -1,5 +1,7 @@
 Feature: Customers' rate limits, shared by entries that may be partitioned
-  On a manual clock, without a network.
+  On a manual clock, without a network. Amounts are in tokens, except where requests are
+  counted. The bounds on a window leave room for what isn't reported yet: 80, or 20 where
+  a step says so.
 
   Scenario: Each window admits the rate and the burst, and no more
     Given entries that share a limit of 100 per second and a burst of 300
@@ -8,25 +10,24 @@
     And at least 2,900 are admitted in 30 s
 
   Scenario: Two entries that are partitioned from each other
-    Each counts only its own requests. Without a share for each, both would admit the
-    whole limit.
+    Each counts only its own requests. If each didn't keep to its share, both would admit
+    the whole limit.
     Given entries that share a limit of 100 per second and a burst of 300
     And the entries are partitioned from each other
     When a customer requests 400 per second for 30 s, through both of 2 entries
     Then at most 1,100 are admitted in any 8 s
 
   Scenario: All entries restart at once
-    They don't know what was admitted before. With its burst once more, a customer that
-    goes on at its limit would exceed it in the 8 s around the restart.
+    They don't know what was admitted before. If the burst were granted once more, a
+    customer at its limit would exceed it in the 8 s around the restart.
     Given entries that share a limit of 100 per second and a burst of 300
     When a customer requests 400 per second for 30 s, and all entries restart at 15 s
     Then at most 1,100 are admitted in any 8 s
 
   Scenario: Right after a start, a part of what the platform tolerates is admitted
-    The use in the window before is unknown: the burst may have been just before the
-    start, and a part of what is tolerated is admitted all the time. If nothing were
-    admitted, a customer far below its limit would be refused for seconds. What is
-    admitted at once fits into the bucket.
+    The use before the start is unknown, so only a part of the tolerance is admitted, and
+    at once no more than fits into the bucket. If nothing were admitted, a customer far
+    below its limit would be refused for seconds.
     Given entries that share a limit of 100 per second and a burst of 300
     And the platform tolerates a tenth of the limit and 290 tokens more
     When all entries have just started
@@ -52,7 +53,7 @@
     Then at least 3,700 are admitted in 30 s
     And at most 1,100 and what isn't reported yet are admitted in any 8 s
 
-  Scenario: The highest rank is admitted first of what is left of a limit
+  Scenario: What is left of a limit goes to the highest rank first
     A customer's limit was lowered to two thirds of what it sends; the highest rank uses a
     third of the limit. Spent in order of arrival, a third of the highest rank would be
     refused while the lowest is admitted.
@@ -62,7 +63,7 @@
     And at least 5% of rank 3 are admitted
 
   Scenario: A burst of large requests of a customer that is far from its limit
-    Three write-ups of the highest rank arrive at once, together with short requests of
+    Three large requests of the highest rank arrive at once, together with short requests of
     lower ranks; their customer uses a quarter of its limit. The short ones needn't leave
     capacity to the highest rank, which has enough.
     Given entries that share a limit of 100 per second and a burst of 300
@@ -86,7 +87,7 @@
     When an entry that admitted 90 per second for 60 s reports to one that starts
     Then 2 s after its start a request of cost 100 is admitted there
 
-  Scenario: A burst where requests are counted
+  Scenario: A burst of a customer whose limit counts requests
     A customer may send 2 requests per second and 3 at once, and does so after a pause.
     Nothing is tolerated beyond that, and the burst must be admitted all the same.
     Given entries that share a limit of 2 requests per second and a burst of 3
@@ -103,7 +104,7 @@
     When the limit is used up at once, 8 s after the start
     Then a request of cost 1 may be retried after 8 s
 
-  Scenario: An entry learns of the others after its first retries were allowed
+  Scenario: An entry's retry allowance shrinks when it learns of the others
     Alone, it has the whole slack of 20 retries. If ten entries that start together each
     kept it, they would send ten times what the service allows.
     Given a retry allowance whose slack is 20 for one entry
--- a/features/direct_line.feature
+++ b/features/direct_line.feature
@@ -2,8 +2,8 @@
   The scheduler of an entry that dispatches directly, on a manual clock, without a network.
 
   Scenario: A burst of short valuable requests among long cheap ones
-    For ten seconds, five upstreams of four slots get two and a half times as many
-    requests as they can serve: short ones of the highest and a middle rank, and long
+    For ten seconds, five upstreams of four slots get 2.7 times as many requests as they
+    can serve: short ones of the highest and a middle rank, and long
     ones of the lowest, whose answers hold a slot for two seconds. The figures are those
     of a model service whose mean prompts take 0.1 s to read and whose chats write for
     seconds. Without reserved slots, the highest rank would wait for chats to end.
@@ -47,9 +47,9 @@
   Scenario: Overload by answers whose lengths differ twentyfold
     Callers of one rank state the expected answer length. Two in three requests hold a
     slot for 0.1 s, the others for 2 s, together more than twice the capacity. In order
-    of arrival the long ones would hold all slots and most short ones, which need a tenth
-    of the slots, be late. The figures follow a customer's write-ups, where a tenth of
-    the answers take half of all time.
+    of arrival the long ones would hold all slots and most short ones, which need a fifth
+    of the slots, would be late. The figures follow a customer's requests, of which a
+    tenth take half of all time.
     Given a queue for 5 upstreams of 4 slots
     When these requests arrive per second for 10 s
       | rank    | requests | hold s | target s | deadline s | answer tokens |
@@ -92,15 +92,15 @@
     When a request of a lower rank arrives
     Then it waits
 
-  Scenario: A request that was refused by one upstream waits for another
+  Scenario: A request isn't sent to the same upstream twice
     Given a queue for 2 upstreams of 1 slot
     When a request arrives that was sent to the first upstream before
     Then it is sent to the second upstream
 
   Scenario: A long prompt waits for a fast upstream
-    A third of the engines is three times as fast as the others. A prompt of 20,000
-    tokens takes a second at a slow one; if the fast one is full, a slot there becomes
-    free within a tenth of that. Short prompts needn't wait.
+    One of two engines is three times as fast as the other. A prompt of 20,000 tokens
+    takes more than a second at the slow one; if the fast one is full, a slot there
+    becomes free within a tenth of that. Short prompts needn't wait.
     Given a queue for 2 upstreams of 1 slot
     And the first upstream takes 40 ms per step and the second 12 ms
     When the second upstream is full, and a long and a short prompt arrive
@@ -155,8 +155,8 @@
     Then each refusal on arrival has a Retry-After between 0.3 s and 0.5 s
 
   Scenario: Rank of requests without a key
-    Their callers are unknown. Ranked above all customers, even a few of them would put
-    the customers' most urgent requests in second place, and those are refused once late.
+    Their callers are unknown. If they ranked above all customers, they would make the
+    customers' highest rank the second one, whose requests are refused once they are late.
     Given customers of rank 1 and rank 3
     Then a request without a key has rank 3, and a customer's has the customer's rank
     And without any customers it has rank 0
@@ -174,7 +174,7 @@
 
   Scenario: Many entries choose before they hear of each other's requests
     60 entries send a request each within the time that a message takes. All see the same
-    upstream as the best one; the last of 59 prompts read there would be late.
+    upstream as the best one; the last of the prompts read there would be late.
     Given a queue for 59 upstreams of 5 slots
     And one of them is faster than all others
     When 60 entries whose reports are 0.1 s old send a request each
--- a/features/linedrive.py
+++ b/features/linedrive.py
@@ -34,13 +34,13 @@
     first_arrived_s: float
     deadline_s: float
     dispatched_s: float | None = None
+    waited_s: float = 0.0
     queued_s: float = 0.0
-    queued_at_s: float = 0.0
     attempts: int = 0
 
 
-class Drive:
-    """Simulates arrivals, answers and one retry by each refused caller."""
+class QueueSimulation:
+    """Simulates schedule_arrivals, answers and one retry by each refused caller."""
 
     def __init__(self, *, upstreams: int, slots: int):
         self.now_s = 0.0
@@ -71,7 +71,7 @@
     def at(self, when_s: float, work) -> None:
         heapq.heappush(self._events, (when_s, next(self._numbers), work))
 
-    def arrivals(self, row, seconds: float) -> None:
+    def schedule_arrivals(self, row, seconds: float) -> None:
         """Schedule requests at random times, in groups of three."""
         per_s = float(row["requests"])
         at_s = 0.0
@@ -91,7 +91,7 @@
 
     def arrive(self, request: Request) -> None:
         request.attempts += 1
-        request.queued_at_s = self.now_s
+        request.queued_s = self.now_s
         ticket = Ticket(
             request_id=f"{id(request)}.{request.attempts}",
             service=SERVICE,
@@ -112,7 +112,7 @@
         self.queue.submit(ticket, self.now_s)
 
     def handle_decision(self, request: Request, ticket: Ticket, decision) -> None:
-        request.queued_s = self.now_s - request.queued_at_s
+        request.waited_s = self.now_s - request.queued_s
         if isinstance(decision, Dispatch):
             request.dispatched_s = self.now_s
             upstream_id = decision.upstream.upstream_id
@@ -126,8 +126,8 @@
             return
         self.refused.append((request, decision))
         if request.attempts == 1:
-            back_s = self.now_s + decision.retry_after_s
-            self.at(back_s, lambda: self.arrive(request))
+            retry_at_s = self.now_s + decision.retry_after_s
+            self.at(retry_at_s, lambda: self.arrive(request))
 
     def run(self, seconds: float) -> None:
         end_s = self.now_s + seconds
@@ -140,7 +140,7 @@
             self.now_s = tick_s
             self.scheduler.tick(self.now_s)
 
-    def ticket(self, **changes) -> tuple[Ticket, list]:
+    def submit_ticket(self, **changes) -> tuple[Ticket, list]:
         """Submit one request by itself; return it and its decisions."""
         decisions: list = []
         fields = dict(
--- a/features/outliers.feature
+++ b/features/outliers.feature
@@ -4,16 +4,16 @@
 
   Scenario: One of four upstreams fails each request at once
     Guards against a failing upstream that attracts what waits for the healthy ones.
-    Given a queue for 4 upstreams of 6 slots, of which 1 fails at once
+    Given a queue for 4 upstreams of 6 slots, of which 1 fails each request
     When 300 requests per second that take 60 ms arrive for 10 s
     Then at most 4% of them fail
-    And the failing upstream is tried again until it answers
+    And the failing upstream recovers after 7 s and gets requests again
 
   Scenario: None of the requests is retryable
     Guards against an ejected upstream that is never tried again.
-    Given a queue for 4 upstreams of 6 slots, of which 1 fails at once
+    Given a queue for 4 upstreams of 6 slots, of which 1 fails each request
     When 300 requests per second that aren't retryable and take 60 ms arrive for 16 s
-    Then the failing upstream is tried again until it answers
+    Then the failing upstream recovers after 7 s and gets requests again
 
   Scenario: All upstreams fail a part of their requests
     Guards against refusing all requests of a service while all its upstreams fail.
@@ -23,7 +23,7 @@
 
   Scenario: A service of a single upstream
     Guards against ejecting the only upstream.
-    Given a queue for 1 upstream of 6 slots, which fails at once
+    Given a queue for 1 upstream of 6 slots, which fails each request
     When 20 requests per second that take 60 ms arrive for 3 s
     Then no request is refused
 
--- a/features/steps/contended_steps.py
+++ b/features/steps/contended_steps.py
@@ -24,15 +24,15 @@
         entries: int,
         requests: int,
         seed: int,
-        own: int = 0,
+        own_running: int = 0,
         waiting: int | None = None,
     ):
         random = Random(seed)
         self.queue = ServiceQueue(pool=Pool(random=random), random=random)
         self.queue.pool.reconfigure([UPSTREAM])
         self.sent: list[Ticket] = []
-        self.running = [self.submit(f"running-{n}") for n in range(own)]
-        self.set_peer_requests(running=SLOTS - own)
+        self.running = [self.submit(f"running-{n}") for n in range(own_running)]
+        self.set_peer_requests(running=SLOTS - own_running)
         others = {RANK: (entries - 1) * requests} if entries > 1 else {}
         self.queue.peer_counts = PeerCounts(waiting=others, entries=entries - 1)
         for number in range(requests if waiting is None else waiting):
@@ -67,10 +67,15 @@
         self.queue.pool.update_peer_loads({"u": Load(requests=running)})
 
 
-def waiting_entries(context, seed: int, own: int = 0) -> list[WaitingEntry]:
+def waiting_entries(context, seed: int, own_running: int = 0) -> list[WaitingEntry]:
     entries, requests = context.size
     return [
-        WaitingEntry(entries=entries, requests=requests, seed=seed * 1000 + n, own=own)
+        WaitingEntry(
+            entries=entries,
+            requests=requests,
+            seed=seed * 1000 + n,
+            own_running=own_running,
+        )
         for n in range(entries)
     ]
 
@@ -81,7 +86,7 @@
     context.size = entries, requests
 
 
-@when("all learn at the same instant that {running:d} requests run there")
+@when("all learn at the same instant that {running:d} requests run at the upstream")
 def step_learn(context, running):
     context.sent = []
     for seed in range(RUNS):
@@ -102,9 +107,9 @@
     assert sum(context.sent) / RUNS >= min_sent, context.sent
 
 
-@when("a request of one of them ends there")
+@when("a request of one of them ends")
 def step_own_ends(context):
-    context.entry = waiting_entries(context, seed=1, own=1)[0]
+    context.entry = waiting_entries(context, seed=1, own_running=1)[0]
     context.entry.queue.release(context.entry.running[0], "u", 0.1)
 
 
@@ -113,24 +118,27 @@
     assert len(context.entry.sent) == 1, context.entry.sent
 
 
-@when("one with {own:d} waiting requests learns that {running:d} requests run there")
-def step_one_learns(context, own, running):
-    context.own_waiting, context.running = own, running
+@when(
+    "one with {waiting:d} waiting requests learns that {running:d} requests run at the "
+    "upstream"
+)
+def step_one_learns(context, waiting, running):
+    context.own_waiting, context.running = waiting, running
 
 
 @when("it gets a request that may not wait")
 def step_may_not_wait(context):
     entries, requests = context.size
-    context.urgent = []
+    context.was_sent = []
     for seed in range(RUNS):
         entry = WaitingEntry(
             entries=entries, requests=requests, seed=seed, waiting=context.own_waiting
         )
         entry.set_peer_requests(running=context.running)
         ticket = entry.submit("urgent", may_wait=False)
-        context.urgent.append(ticket in entry.sent)
+        context.was_sent.append(ticket in entry.sent)
 
 
 @then("that request is sent")
 def step_urgent_sent(context):
-    assert all(context.urgent), context.urgent
+    assert all(context.was_sent), context.was_sent
--- a/features/steps/direct_crashes_steps.py
+++ b/features/steps/direct_crashes_steps.py
@@ -15,6 +15,7 @@
 
 
 def break_at(context, upstream_id: str, *contents: str) -> None:
+    # Later than CRASH_WINDOW_S after the breaks before.
     context.now_s += 5.0
     for content in contents:
         context.detector.record_broken_answer(upstream_id, content, context.now_s)
@@ -38,9 +39,9 @@
 
 @when(
     'content "{content}" breaks at "{upstream}" together with "{other}", and '
-    '"{alive}" goes on answering'
+    '"{answering_upstream}" goes on answering'
 )
-def step_lost(context, content, upstream, other, alive):
+def step_lost(context, content, upstream, other, answering_upstream):
     break_at(context, upstream, content, other)
 
 
--- a/features/steps/direct_limits_steps.py
+++ b/features/steps/direct_limits_steps.py
@@ -73,12 +73,12 @@
 ) -> None:
     quotas = [new_quota(context, 0.0) for _ in range(2)]
     context.admitted_rows = []
-    restarts = 0
+    incarnation = 0
     ticks = round(seconds / TICK_S)
     for tick in range(ticks):
         now_s = tick * TICK_S
-        if restart_s is not None and now_s >= restart_s and not restarts:
-            quotas, restarts = [new_quota(context, now_s) for _ in quotas], 1
+        if restart_s is not None and now_s >= restart_s and not incarnation:
+            quotas, incarnation = [new_quota(context, now_s) for _ in quotas], 1
         for quota in quotas:
             quota.set_entry_counts(live=2 if context.is_connected else 1, known=2)
         if now_s < begin_s:
@@ -87,9 +87,11 @@
         if quota.spend(context.customer, per_s * TICK_S, rank=0, now_s=now_s):
             context.admitted_rows.append((now_s, per_s * TICK_S))
         if context.is_connected and tick % round(REPORT_INTERVAL_S / TICK_S) == 0:
-            for index, peer in enumerate(quotas):
+            for index, receiver in enumerate(quotas):
                 reported = quotas[1 - index].spent()
-                peer.merge_peer_spent("peer", str(restarts), reported, now_s=now_s)
+                receiver.merge_peer_spent(
+                    "peer", str(incarnation), reported, now_s=now_s
+                )
 
 
 @when(
@@ -251,18 +253,18 @@
     context.quota = new_quota(context, 0.0)
 
 
-@then("{max_amount:d} are admitted at once and no more")
-def step_at_once(context, max_amount):
+@then("{amount:d} are admitted at once and no more")
+def step_at_once(context, amount):
     admitted = 0
     while context.quota.spend(context.customer, 10.0, rank=0, now_s=0.0):
         admitted += 10
-    assert admitted == max_amount, admitted
+    assert admitted == amount, admitted
 
 
 @when("a request of cost {cost:d} is admitted and refunded")
 def step_refunded(context, cost):
     context.quota = new_quota(context, 0.0)
-    # An entry that has just started admits nothing yet.
+    # Without a tolerance, an entry that has just started admits nothing yet.
     assert context.quota.spend(context.customer, cost, rank=0, now_s=WINDOW_S)
     context.quota.refund(context.customer, cost, rank=0, now_s=WINDOW_S)
 
--- a/features/steps/direct_line_steps.py
+++ b/features/steps/direct_line_steps.py
@@ -5,7 +5,7 @@
 import attrs
 from behave import given, then, when
 
-from features.linedrive import RANKS, Drive, Request
+from features.linedrive import RANKS, QueueSimulation, Request
 from lavenderspoke.direct.catalog import Catalog, Customer
 from lavenderspoke.direct.lengths import AnswerLengths
 from lavenderspoke.direct.scheduler import PeerCounts
@@ -18,31 +18,33 @@
 @given("a queue for {upstreams:d} upstream of {slots:d} slot")
 def step_queue(context, upstreams, slots):
     context.slots = slots
-    context.drive = Drive(upstreams=upstreams, slots=slots)
+    context.simulation = QueueSimulation(upstreams=upstreams, slots=slots)
 
 
 @given("a peer has {count:d} waiting requests of a higher rank")
 def step_peer(context, count):
     # The lower rank holds more slots than it is guaranteed.
     for _ in range(6):
-        context.drive.ticket(rank=RANKS["lowest"])
-    context.drive.peers = PeerCounts(waiting={RANKS["highest"]: count}, entries=1)
-    context.drive.scheduler.tick(0.0)
+        context.simulation.submit_ticket(rank=RANKS["lowest"])
+    context.simulation.peers = PeerCounts(waiting={RANKS["highest"]: count}, entries=1)
+    context.simulation.scheduler.tick(0.0)
 
 
 @when("these requests arrive per second for {seconds:d} s")
 def step_arrivals(context, seconds):
     for row in context.table:
-        context.drive.arrivals(row, seconds)
-    context.drive.run(seconds + 20.0)
+        context.simulation.schedule_arrivals(row, seconds)
+    context.simulation.run(seconds + 20.0)
 
 
 def of_length(context, tokens: int) -> list[Request]:
-    return [each for each in context.drive.requests if each.answer_tokens == tokens]
+    return [
+        each for each in context.simulation.requests if each.answer_tokens == tokens
+    ]
 
 
 def of_rank(context, rank: str) -> list[Request]:
-    return [each for each in context.drive.requests if each.rank == rank]
+    return [each for each in context.simulation.requests if each.rank == rank]
 
 
 @then("at least {percent:d}% of the {rank} rank are dispatched within their target")
@@ -121,30 +123,30 @@
     "their target"
 )
 def step_waited(context, percent):
-    for request, decision in context.drive.refused:
+    for request, decision in context.simulation.refused:
         if request.attempts == 1 and request.rank != "highest":
             max_s = request.target_s * percent / 100
-            assert request.queued_s <= max_s, (request, decision)
+            assert request.waited_s <= max_s, (request, decision)
 
 
 @then("no upstream runs more requests than it has slots")
-def step_places(context):
-    assert context.drive.most_running <= context.slots
+def step_within_slots(context):
+    assert context.simulation.most_running <= context.slots
 
 
 @then("no request is refused or waits")
-def step_nobody(context):
-    assert not context.drive.refused
-    assert all(each.queued_s == 0.0 for each in context.drive.requests)
+def step_none_refused_or_waits(context):
+    assert not context.simulation.refused
+    assert all(each.waited_s == 0.0 for each in context.simulation.requests)
 
 
 @when("one request runs, and a new one and a resubmitted one wait")
 def step_two_wait(context):
-    drive = context.drive
-    running, _ = drive.ticket()
-    _, context.new = drive.ticket()
-    _, context.resubmitted = drive.ticket(resubmitted=True)
-    drive.queue.release(running, "u0", drive.now_s)
+    simulation = context.simulation
+    running, _ = simulation.submit_ticket()
+    _, context.new = simulation.submit_ticket()
+    _, context.resubmitted = simulation.submit_ticket(resubmitted=True)
+    simulation.queue.release(running, "u0", simulation.now_s)
 
 
 @then("the resubmitted one is dispatched next")
@@ -154,7 +156,7 @@
 
 @when("a request of a lower rank arrives")
 def step_lower(context):
-    _, context.decisions = context.drive.ticket(rank=RANKS["lowest"])
+    _, context.decisions = context.simulation.submit_ticket(rank=RANKS["lowest"])
 
 
 @then("it waits")
@@ -164,27 +166,29 @@
 
 @when("a request arrives that was sent to the first upstream before")
 def step_excluded(context):
-    _, context.decisions = context.drive.ticket(excluded={"u0"})
+    _, context.decisions = context.simulation.submit_ticket(excluded={"u0"})
 
 
 @when("a request arrives that may not wait")
 def step_may_not_wait(context):
-    _, context.decisions = context.drive.ticket(may_wait=False)
+    _, context.decisions = context.simulation.submit_ticket(may_wait=False)
 
 
 @when("a request arrives whose caller's patience has run out")
-def step_caller_waited(context):
-    drive = context.drive
-    idle_since_s = drive.now_s - 2.0
-    _, context.decisions = drive.ticket(idle_since_s=idle_since_s, patience_s=2.0)
+def step_patience_over(context):
+    simulation = context.simulation
+    idle_since_s = simulation.now_s - 2.0
+    _, context.decisions = simulation.submit_ticket(
+        idle_since_s=idle_since_s, patience_s=2.0
+    )
 
 
 @when("one request runs for {seconds:g} s while another one waits")
 def step_long_wait(context, seconds):
-    drive = context.drive
-    running, _ = drive.ticket()
-    _, context.decisions = drive.ticket(deadline_s=60.0, patience_s=60.0)
-    drive.queue.release(running, "u0", drive.now_s + seconds)
+    simulation = context.simulation
+    running, _ = simulation.submit_ticket()
+    _, context.decisions = simulation.submit_ticket(deadline_s=60.0, patience_s=60.0)
+    simulation.queue.release(running, "u0", simulation.now_s + seconds)
 
 
 @then("the waiting one is dispatched")
@@ -214,17 +218,17 @@
 @given("the first upstream takes {first:d} ms per step and the second {second:d} ms")
 def step_step_times(context, first, second):
     for upstream_id, step_ms in (("u0", first), ("u1", second)):
-        context.drive.queue.pool.state_of(upstream_id).health.record_step(
+        context.simulation.queue.pool.state_of(upstream_id).health.record_step(
             step_ms / 1000
         )
 
 
 @when("the second upstream is full, and a long and a short prompt arrive")
 def step_long_and_short(context):
-    drive = context.drive
-    context.running, _ = drive.ticket(excluded={"u0"})
-    _, context.long = drive.ticket(prompt_tokens=20_000)
-    _, context.short = drive.ticket(prompt_tokens=500)
+    simulation = context.simulation
+    context.running, _ = simulation.submit_ticket(excluded={"u0"})
+    _, context.long = simulation.submit_ticket(prompt_tokens=20_000)
+    _, context.short = simulation.submit_ticket(prompt_tokens=500)
 
 
 @then(
@@ -235,28 +239,28 @@
     (decision,) = context.short
     assert decision.upstream.upstream_id == "u0"
     assert context.long == []
-    context.drive.queue.release(context.running, "u1", context.drive.now_s)
+    context.simulation.queue.release(context.running, "u1", context.simulation.now_s)
     (decision,) = context.long
     assert decision.upstream.upstream_id == "u1"
 
 
 @when("{count:d} prompts of {tokens:d} tokens are read at {rate:d} tokens per step")
 def step_read(context, count, tokens, rate):
-    drive = context.drive
+    simulation = context.simulation
     for _ in range(count):
-        ticket, decisions = drive.ticket(prompt_tokens=tokens)
+        ticket, decisions = simulation.submit_ticket(prompt_tokens=tokens)
         (decision,) = decisions
         upstream_id = decision.upstream.upstream_id
         steps = tokens / rate + 1
-        drive.now_s += drive.queue.pool.state_of(upstream_id).step_s() * steps
-        drive.queue.record_first_event(ticket, upstream_id, drive.now_s)
-        drive.queue.release(ticket, upstream_id, drive.now_s)
+        simulation.now_s += simulation.queue.pool.state_of(upstream_id).step_s() * steps
+        simulation.queue.record_first_event(ticket, upstream_id, simulation.now_s)
+        simulation.queue.release(ticket, upstream_id, simulation.now_s)
     context.rate = rate
 
 
 @then("the prefill rate expected for {tokens:d} tokens is within {percent:d}% of that")
 def step_expected(context, tokens, percent):
-    learned = context.drive.queue.pool.prefill_rate.tokens_per_step
+    learned = context.simulation.queue.pool.prefill_rate.tokens_per_step
     assert abs(learned - context.rate) <= context.rate * percent / 100, learned
 
 
@@ -265,38 +269,38 @@
     "immediately"
 )
 def step_first_immediately(context, tokens):
-    context.drive.ticket(excluded={"u0"})
-    _, decisions = context.drive.ticket(prompt_tokens=tokens)
+    context.simulation.submit_ticket(excluded={"u0"})
+    _, decisions = context.simulation.submit_ticket(prompt_tokens=tokens)
     (decision,) = decisions
     assert decision.upstream.upstream_id == "u0"
 
 
 @when("the upstream is leaving and a request arrives")
 def step_leaving(context):
-    drive = context.drive
-    (upstream,) = drive.upstreams
-    drive.scheduler.reconfigure((attrs.evolve(upstream, leaving=True),), 0.0)
-    _, context.decisions = drive.ticket()
+    simulation = context.simulation
+    (upstream,) = simulation.upstreams
+    simulation.scheduler.reconfigure((attrs.evolve(upstream, leaving=True),), 0.0)
+    _, context.decisions = simulation.submit_ticket()
 
 
 @then("it is refused because there is no upstream")
-def step_none(context):
+def step_no_upstream(context):
     (decision,) = context.decisions
     assert decision.reason is Refusal.NO_UPSTREAM
 
 
 @when("the upstream can't be reached")
 def step_unreachable(context):
-    state = context.drive.queue.pool.state_of("u0")
-    state.health.record_unreachable(context.drive.now_s)
+    state = context.simulation.queue.pool.state_of("u0")
+    state.health.record_unreachable(context.simulation.now_s)
 
 
 @then("nothing is sent there during the suspension, and then one request at a time")
 def step_trial(context):
-    drive = context.drive
-    decisions = [drive.ticket()[1] for _ in range(3)]
+    simulation = context.simulation
+    decisions = [simulation.submit_ticket()[1] for _ in range(3)]
     assert decisions == [[], [], []]
-    drive.run(0.3)
+    simulation.run(0.3)
     sent = [each for each in decisions if each]
     assert len(sent) == 1, decisions
     context.sent = sent
@@ -304,26 +308,27 @@
 
 @when("that request is answered")
 def step_answered(context):
-    drive = context.drive
-    state = drive.queue.pool.state_of("u0")
+    simulation = context.simulation
+    state = simulation.queue.pool.state_of("u0")
     state.health.record_success()
     state.own_requests.clear()
-    drive.run(0.1)
+    simulation.run(0.1)
 
 
 @then("all its slots can be used again")
 def step_all_again(context):
-    assert len(context.drive.queue.pool.state_of("u0").own_requests) == 2
-    assert context.drive.queue.pool.free_slots(context.drive.now_s) == 2
+    assert len(context.simulation.queue.pool.state_of("u0").own_requests) == 2
+    assert context.simulation.queue.pool.free_slots(context.simulation.now_s) == 2
 
 
 @when("{count:d} requests with {remaining_s:f} s left arrive at once")
 def step_many_at_once(context, count, remaining_s):
-    drive = context.drive
+    simulation = context.simulation
     decisions = [
-        drive.ticket(deadline_s=remaining_s, target_s=0.4) for _ in range(count)
+        simulation.submit_ticket(deadline_s=remaining_s, target_s=0.4)
+        for _ in range(count)
     ]
-    drive.run(remaining_s)
+    simulation.run(remaining_s)
     context.refusals = [
         each for _, made in decisions for each in made if isinstance(each, Refuse)
     ]
@@ -378,23 +383,23 @@
 def step_replaced(context, count):
     context.evicted = {f"u{n}" for n in range(count)}
     for upstream_id in context.evicted:
-        context.drive.queue.pool.evict(upstream_id, context.drive.now_s)
+        context.simulation.queue.pool.evict(upstream_id, context.simulation.now_s)
 
 
 @when("{count:d} requests arrive, one every {every_ms:d} ms")
 def step_arrive_evenly(context, count, every_ms):
     context.sent_to = set()
     for _ in range(count):
-        ticket, (decision,) = context.drive.ticket()
+        ticket, (decision,) = context.simulation.submit_ticket()
         upstream_id = decision.upstream.upstream_id
         context.sent_to.add(upstream_id)
-        context.drive.run(every_ms / 1000.0)
-        context.drive.queue.release(ticket, upstream_id, context.drive.now_s)
+        context.simulation.run(every_ms / 1000.0)
+        context.simulation.queue.release(ticket, upstream_id, context.simulation.now_s)
 
 
 @when("{seconds:d} s later {count:d} requests arrive, one every {every_ms:d} ms")
 def step_later(context, seconds, count, every_ms):
-    context.drive.run(float(seconds))
+    context.simulation.run(float(seconds))
     step_arrive_evenly(context, count, every_ms)
 
 
@@ -410,22 +415,22 @@
 
 @given("one of them is faster than all others")
 def step_one_faster(context):
-    for number, upstream in enumerate(context.drive.upstreams):
-        state = context.drive.queue.pool.state_of(upstream.upstream_id)
+    for number, upstream in enumerate(context.simulation.upstreams):
+        state = context.simulation.queue.pool.state_of(upstream.upstream_id)
         state.health.record_step(0.005 if number == 7 else 0.02)
 
 
 @when("{count:d} entries whose reports are {age_s:g} s old send a request each")
 def step_entries_choose(context, count, age_s):
-    context.drive.peers = PeerCounts(entries=count - 1, age_s=age_s)
-    context.drive.scheduler.tick(0.0)
+    context.simulation.peers = PeerCounts(entries=count - 1, age_s=age_s)
+    context.simulation.scheduler.tick(0.0)
     context.chosen = Counter()
     for _ in range(count):
         # Each request stands for one entry, which doesn't know what the others send.
-        ticket, (decision,) = context.drive.ticket()
+        ticket, (decision,) = context.simulation.submit_ticket()
         context.chosen[decision.upstream.upstream_id] += 1
         upstream_id = decision.upstream.upstream_id
-        context.drive.queue.release(ticket, upstream_id, context.drive.now_s)
+        context.simulation.queue.release(ticket, upstream_id, context.simulation.now_s)
 
 
 @then("no upstream gets more of them than it has slots")
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -28,7 +28,7 @@
 
     upstreams: int
     slots: int
-    fails: dict[str, float]
+    failure_shares: dict[str, float]
     now_s: float = 0.0
     sent: int = 0
     failed: int = 0
@@ -88,33 +88,37 @@
         if not isinstance(decision, Dispatch):
             self.refused += 1
             return
-        name = decision.upstream.upstream_id
+        upstream_id = decision.upstream.upstream_id
         self.sent += 1
         if self.now_s > RECOVERY_S + 1.0:
-            self.sent_after_recovery.add(name)
-        share = self.fails.get(name, 0.0)
-        if len(self.fails) == 1 and self.now_s >= RECOVERY_S:
+            self.sent_after_recovery.add(upstream_id)
+        share = self.failure_shares.get(upstream_id, 0.0)
+        if len(self.failure_shares) == 1 and self.now_s >= RECOVERY_S:
             share = 0.0
         is_failure = self._random.random() < share
         self.failed += is_failure
         after_s = FAILS_AFTER_S if is_failure else hold_s
-        self._at(self.now_s + after_s, lambda: self._end(ticket, name, is_failure))
+        self._at(
+            self.now_s + after_s, lambda: self._end(ticket, upstream_id, is_failure)
+        )
 
-    def _end(self, ticket: Ticket, name: str, is_failure: bool) -> None:
-        state = self.queue.pool.state_of(name)
+    def _end(self, ticket: Ticket, upstream_id: str, is_failure: bool) -> None:
+        state = self.queue.pool.state_of(upstream_id)
         if is_failure:
             state.health.record_failure()
             self.queue.pool.eject_if_outlier(state, self.now_s)
         else:
             state.health.record_success()
-        self.queue.release(ticket, name, self.now_s)
+        self.queue.release(ticket, upstream_id, self.now_s)
 
 
-@given("a queue for {count:d} upstreams of {slots:d} slots, of which 1 fails at once")
-@given("a queue for {count:d} upstream of {slots:d} slots, which fails at once")
+@given(
+    "a queue for {count:d} upstreams of {slots:d} slots, of which 1 fails each request"
+)
+@given("a queue for {count:d} upstream of {slots:d} slots, which fails each request")
 def step_one_fails(context, count, slots):
     context.simulation = FailureSimulation(
-        upstreams=count, slots=slots, fails={"u0": 1.0}
+        upstreams=count, slots=slots, failure_shares={"u0": 1.0}
     )
 
 
@@ -123,8 +127,10 @@
     "{tenths:d} in 10"
 )
 def step_each_fails(context, count, slots, tenths):
-    fails = {f"u{number}": tenths / 10 for number in range(count)}
-    context.simulation = FailureSimulation(upstreams=count, slots=slots, fails=fails)
+    failure_shares = {f"u{number}": tenths / 10 for number in range(count)}
+    context.simulation = FailureSimulation(
+        upstreams=count, slots=slots, failure_shares=failure_shares
+    )
 
 
 @when("{per_s:d} requests per second that take {ms:d} ms arrive for {seconds:d} s")
@@ -150,7 +156,7 @@
     )
 
 
-@then("the failing upstream is tried again until it answers")
+@then("the failing upstream recovers after 7 s and gets requests again")
 def step_tried(context):
     assert (
         "u0" in context.simulation.sent_after_recovery
@@ -231,16 +237,16 @@
 
 
 @then("the first entry still uses it")
-def step_still(context):
+def step_still_used(context):
     assert "u0" in usable(context.entries[0], 0.0)
 
 
 @then("an entry that hasn't used it ejects it for a while")
-def step_leaves(context):
+def step_ejects(context):
     assert "u0" not in usable(context.entries[1], 0.5)
     assert "u0" in usable(context.entries[1], 5.0)
 
 
 @then("the first entry uses at least two of them")
-def step_two(context):
+def step_two_used(context):
     assert len(usable(context.entries[0], 0.5)) >= 2
