--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -101,7 +101,7 @@
 @when("the link has been loaded")
 def step_link_loaded(context):
     context.link.go.set()
-    context.part.wait_loaded(ANSWER_WAIT_S)
+    context.part.wait_started(ANSWER_WAIT_S)
 
 
 @when("its part is stopped, and the link has been loaded")
@@ -134,7 +134,7 @@
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
-    context.part.wait_loaded(ANSWER_WAIT_S)
+    context.part.wait_started(ANSWER_WAIT_S)
     assert context.part.alive() and context.link.starts == 1
 
 
--- a/features/steps/direct_stop_steps.py
+++ b/features/steps/direct_stop_steps.py
@@ -56,10 +56,10 @@
         )
         exits.start()
         context.add_cleanup(exits.stop)
-        self.entry._callers.start()
-        context.add_cleanup(self.entry._callers.stop)
+        self.entry._caller_server.start()
+        context.add_cleanup(self.entry._caller_server.stop)
         context.add_cleanup(self.go.set)
-        self.server = self.entry._callers.server
+        self.server = self.entry._caller_server.server
         wait_for(lambda: self.server.ready, "the server serves")
 
     def connect(self, context) -> None:
--- a/lavenderspoke/direct/catalog.py
+++ b/lavenderspoke/direct/catalog.py
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A pool of equivalent upstreams; `connections_max` applies to each of them."""
+    """Upstreams that serve the same requests; `connections_max` is per upstream."""
 
     name: str
     connections_max: int
@@ -124,7 +124,7 @@
 
     @property
     def needs_key(self) -> bool:
-        """Whether requests need an API key, because there are customers."""
+        """Whether requests need an API key, except on anonymous routes."""
         return bool(self.customers)
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -133,12 +133,12 @@
         Prefixes end in a slash, so only the slashes in the path are tried and the cost
         doesn't grow with the number of routes.
         """
-        prefixes = self._by_host.get(host.lower())
-        if prefixes is None:
+        routes_by_prefix = self._by_host.get(host.lower())
+        if routes_by_prefix is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = prefixes.get(path[: end + 1])
+            route = routes_by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
         return None
@@ -146,8 +146,8 @@
     def rank_of(self, customer: Customer | None) -> int:
         """Return a customer's rank, or the rank of a request without a customer.
 
-        Unauthenticated requests get the lowest customer rank. At the highest, a few of
-        them would delay the customers' own most urgent requests.
+        Unauthenticated requests get the lowest customer rank. With the highest, a few
+        of them would delay the customers' own most urgent requests.
         """
         if customer is not None:
             return customer.rank
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -42,7 +42,7 @@
 
 
 class Feeds(Protocol):
-    """The feeds of catalog, upstreams and peers from a platform."""
+    """A platform's feeds: the catalog, the upstreams and the other entries."""
 
     def parts(self) -> list[tuple[str, Part]]:
         """Return the supervised parts of the feeds, by name."""
@@ -55,10 +55,10 @@
 
 
 class DirectEntry:
-    """One entry.
+    """Builds the parts of one entry, runs them, and drains them at the stop signal.
 
     `listener` is a socket on which callers may already be waiting. `flush` is called
-    before the process exits by itself, to write the last log lines.
+    before the process exits through `os._exit`, to write the last log lines.
     """
 
     def __init__(
@@ -91,24 +91,24 @@
             random=Random(),
             metrics=self.metrics,
         )
-        self._watch = CallerWatch()
+        self._caller_watch = CallerWatch()
         self._startup_hold = StartupHold(is_ready=self._has_initial_state, clock=clock)
         self._app = DirectApp(
             startup_hold=self._startup_hold,
             in_force=self.in_force,
             dispatcher=self.dispatcher,
             dialect=dialect,
-            watch=self._watch,
+            watch=self._caller_watch,
             metrics=self.metrics,
             clock=clock,
         )
-        self._callers = DirectServer(
+        self._caller_server = DirectServer(
             settings=settings, app=self._app, listener=listener
         )
-        self._readiness = ReadinessServer(
+        self._readiness_server = ReadinessServer(
             address=settings.readiness, ready=self.ready, metrics=self.metrics
         )
-        self._peers = PeerLinkLoader(load=self._load_gossip)
+        self._peer_link = PeerLinkLoader(load=self._load_gossip)
         self._feeds: Feeds | None = None
         self._stop_requested = threading.Event()
         self._supervisor: Supervisor | None = None
@@ -116,10 +116,11 @@
     def ready(self) -> bool:
         """Return whether callers may be sent to this entry.
 
-        Until the other entries know of it, they can't relay records to it. If the store
-        rejected it then, it would refuse all API keys as soon as its only read is too
-        old. The platform's list of entries takes about 10 ms more; if it doesn't arrive
-        in time, the entry serves without it.
+        The startup hold ends once the list of entries was read, which follows the write
+        of this entry's own record. Before that no peer can relay records to it, and if
+        the store rejected it, it would refuse all API keys as soon as its only read is
+        too old. The list takes about 10 ms more; if it doesn't arrive within the hold,
+        the entry serves without it.
         """
         return (
             not self._app.draining
@@ -140,28 +141,30 @@
     def catalog_changed(self, catalog: Catalog) -> None:
         """Apply a catalog that came into force."""
         self.dispatcher.catalog_changed(catalog)
-        self._callers.set_limits(catalog.limits)
+        self._caller_server.set_limits(catalog.limits)
 
     def reload(self, bounds: Bounds) -> None:
-        """Apply changed bounds."""
+        """Apply changed bounds, except those that the feeds take at their start."""
         self.in_force.key_age_max_s = bounds.revoke_s - KEY_MARGIN_S
         self.dispatcher.reload(bounds)
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send a message about records to another entry; dropped if unreachable."""
-        self._peers.send_to_peer(name, message)
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
+        self._peer_link.send_to_peer(name, message)
 
     def _load_gossip(self) -> PeerLink:
         # Imported only here: see `PeerLinkLoader`.
         from lavenderspoke.direct.dissemination import Dissemination
         from lavenderspoke.direct.gossip import Gossip
 
-        talk = Dissemination(me=self.me, dispatcher=self.dispatcher, clock=self.clock)
+        dissemination = Dissemination(
+            me=self.me, dispatcher=self.dispatcher, clock=self.clock
+        )
         return Gossip(
             me=self.me,
             listen=self.settings.peers,
             dispatcher=self.dispatcher,
-            dissemination=talk,
+            dissemination=dissemination,
             metrics=self.metrics,
             on_records=self._on_records,
         )
@@ -173,31 +176,31 @@
     def run(self, feeds: Feeds) -> int:
         """Run until the supervisor ends; return the process's exit status.
 
-        After a stop signal the process exits without a return from here.
+        After a stop signal this doesn't return: `_drain` exits the process.
         """
         self._feeds = feeds
         self._supervisor = Supervisor(
             name="entry",
             parts=[
-                ("readiness", self._readiness),
-                ("watch", self._watch),
+                ("readiness", self._readiness_server),
+                ("watch", self._caller_watch),
                 *feeds.parts(),
-                ("callers", self._callers),
-                ("peers", self._peers),
+                ("callers", self._caller_server),
+                ("peers", self._peer_link),
             ],
             clock=self.clock,
-            # Without its link an entry keeps to its own share of the limits. Exiting
-            # would cut off all its streams.
+            # Without its link an entry can serve, within its own share of the limits.
+            # Giving up because of the link would cut off all its streams.
             dispensable=frozenset({"peers"}),
         )
         log.info("starting", entry=self.me.name, incarnation=self.me.incarnation)
         # Started early: at the time of the stop signal the system may refuse a new
         # thread, and the entry would not stop.
         threading.Thread(target=self._drain, name="drain", daemon=True).start()
-        for stop in STOP_SIGNALS:
-            signal.signal(stop, self._on_stop)
+        for stop_signal in STOP_SIGNALS:
+            signal.signal(stop_signal, self._on_stop)
             # A signal that arrived while the process was loading is delivered now.
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, {stop})
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, {stop_signal})
         status = self._supervise()
         log.info("stopped", entry=self.me.name, status=status)
         return status
@@ -208,7 +211,7 @@
         except Exception:
             # Returning would wait for server threads, which wait for callers. The
             # process would stay and hold its port without serving it.
-            log.exception("the entry failed")
+            log.exception("supervisor failed, exiting")
             self._flush()
             os._exit(1)
 
@@ -219,21 +222,21 @@
             self._stop_requested.set()
 
     def _drain(self) -> None:
-        """Wait for the stop signal, finish accepted requests and exit."""
+        """At the stop signal, finish requests within the grace time, then exit."""
         self._stop_requested.wait()
         started_s = self.clock.monotonic_s()
         refuse_from_s = started_s + DRAIN_ACCEPT_S
         latest_s = started_s + self.dispatcher.bounds.grace_s - STOP_MARGIN_S
-        log.info("stopping", in_flight=self._callers.in_flight())
+        log.info("stopping", in_flight=self._caller_server.in_flight())
         self._feeds.leave()
         pause = threading.Event()
         while (now_s := self.clock.monotonic_s()) < latest_s:
             self._app.refusing = now_s >= refuse_from_s
-            if self._app.refusing and not self._callers.in_flight():
+            if self._app.refusing and not self._caller_server.in_flight():
                 break
             pause.wait(DRAIN_POLL_S)
-        self._peers.stop()
-        log.info("stopped", cut_off=self._callers.in_flight())
+        self._peer_link.stop()
+        log.info("stopped", cut_off=self._caller_server.in_flight())
         # The remaining threads wait on sockets. Joining them takes up to a second for
         # each server, and the process would be killed meanwhile.
         self._flush()
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -1,4 +1,4 @@
-"""A consumer thread for one topic of the platform's log.
+"""A consumer thread for one topic of the platform's store.
 
 It reads from its last offset. When that offset has expired, it loads the newest record
 of each key and continues from there. While other entries read the store, it queries
@@ -29,7 +29,7 @@
 
 
 class CallReason(Enum):
-    """Why an entry calls the store instead of querying another entry."""
+    """Why an entry called the store."""
 
     FIRST = "first"
     OFFSET_EXPIRED = "forgotten"
@@ -44,10 +44,11 @@
 class Feed:
     """Follows one topic on its own thread.
 
-    A follower queries a reader every `query_interval_s` seconds, and reads the store
-    itself once its state is older than `stale_after_s` seconds. Peers are notified at
-    once of new records of an `urgent` topic. Records too large to be relayed are read
-    from the store once the last records are `reread_after_s` seconds old.
+    A follower queries a reader every `query_interval_s` seconds. It reads the store
+    itself once the read behind its records was sent `stale_after_s` seconds ago, or, if
+    newer records are too large to be relayed, once the last read that returned any was
+    sent `reread_after_s` seconds ago. Peers are notified at once of new records of an
+    `urgent` topic.
     """
 
     topic = ""
@@ -67,7 +68,7 @@
         self._needs_snapshot = True
         self._failing = False
         self._read_scheduled = False
-        # When the read that returned the last records was sent.
+        # Send time of the last read that returned any records.
         self._last_records_s = float("-inf")
         # Store reads and relayed records are applied on different threads.
         self._apply_lock = threading.Lock()
@@ -95,7 +96,7 @@
         return self._thread is not None and self._thread.is_alive()
 
     def poll(self) -> bool:
-        """Read the store once and notify peers; return whether the read succeeded."""
+        """Read the store, notify peers of new records; return whether it succeeded."""
         self._count_call(self._read_reason())
         self._read_scheduled = False
         sent_s = self._clock.monotonic_s()
@@ -115,7 +116,9 @@
             self._needs_snapshot = True
             return self.poll()
         if batch.skipped:
-            log.warning("records skipped", topic=self.topic, count=batch.skipped)
+            log.warning(
+                "undecodable records skipped", topic=self.topic, count=batch.skipped
+            )
         known_offset = self.cache.next_offset
         if not self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s):
             return False
@@ -130,9 +133,9 @@
         self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s)
 
     def schedule_read(self) -> None:
-        """Read the store instead of the next query, once `reread_after_s` allows it.
+        """Read the store instead of the next query, after at most `reread_after_s`.
 
-        When large versions follow each other quickly, one read returns several of them.
+        The delay lets one read return several large records that follow each other.
         """
         if not self._read_scheduled:
             self._read_scheduled = True
@@ -165,21 +168,21 @@
             try:
                 pause_s = self.run_once()
             except Exception:
-                log.exception("feed failed", topic=self.topic)
+                log.exception("feed iteration failed", topic=self.topic)
                 pause_s = RETRY_PAUSE_S
             if pause_s:
                 self._wake.wait(pause_s)
             self._wake.clear()
 
     def run_once(self) -> float:
-        """Query a peer or read the store; return the pause after it in seconds."""
+        """Query a peer or read the store, or both; return the next pause in seconds."""
         if self._relies_on_peers():
             if not self._read_scheduled:
                 self._relay.query_reader(self.topic)
-            return min(self.query_interval_s, self._relay_remaining_s())
+            return min(self.query_interval_s, self._until_store_read_s())
         if self._failing:
-            # The store may reject this entry and serve others. Their replies can
-            # arrive while this entry's own read is still waiting for its timeout.
+            # If the store rejects only this entry, a peer's reply arrives while this
+            # entry's own read is still waiting for its timeout.
             self._relay.query_any_peer(self.topic)
         if self.poll():
             return self._period_s()
@@ -189,14 +192,14 @@
     def _relies_on_peers(self) -> bool:
         if self._needs_snapshot or not self._relay.is_follower():
             return False
-        return self._relay_remaining_s() > 0.0
+        return self._until_store_read_s() > 0.0
 
-    def _relay_remaining_s(self) -> float:
-        """Return how long no store read is needed, in seconds."""
+    def _until_store_read_s(self) -> float:
+        """Return the time until a store read is needed, in seconds."""
         if not self._read_scheduled:
-            return self._fresh_remaining_s()
+            return self._until_stale_s()
         records_age_s = self._clock.monotonic_s() - self._last_records_s
-        return min(self._fresh_remaining_s(), self.reread_after_s - records_age_s)
+        return min(self._until_stale_s(), self.reread_after_s - records_age_s)
 
     def _read_reason(self) -> CallReason:
         if self._failing:
@@ -213,8 +216,8 @@
     def _count_call(self, reason: CallReason) -> None:
         self._metrics.count(STORE_CALLS, f"{self.topic}:{reason.value}")
 
-    def _fresh_remaining_s(self) -> float:
-        """Return the time until the cached state is stale, in seconds."""
+    def _until_stale_s(self) -> float:
+        """Return the time until the cached records are stale, in seconds."""
         return self.stale_after_s - self.cache.age_s(self._clock.monotonic_s())
 
     def _long_poll_s(self) -> float:
@@ -222,7 +225,7 @@
         return 0.0
 
     def _period_s(self) -> float:
-        """Return the interval between reads, in seconds."""
+        """Return the pause after a read, in seconds."""
         return 0.0
 
     def _note_failure(self, error: StoreError) -> None:
--- a/lavenderspoke/direct/gossip.py
+++ b/lavenderspoke/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Exchanges gossip messages with the other entries."""
+"""Exchanges messages with the other entries, and runs the entry's periodic work."""
 
 import threading
 from collections.abc import Callable
@@ -22,15 +22,15 @@
 from lavenderspoke.poison import CrashEvidence
 from lavenderspoke.transport import Transport
 
-# Interval between ticks, in seconds. It bounds how late a queued request learns that
-# its time in the queue is up, or gets a slot that a peer has released.
+# Interval between ticks, in seconds. A tick also runs the dispatcher's periodic work,
+# so it bounds how late a queued request times out, or gets a slot that a peer released.
 TICK_S = 0.02
 
 log = logbook.Logger(__name__)
 
 
 class Gossip:
-    """The part of an entry that shares its state with the others."""
+    """Supervised part that sends, receives and ticks; see `Dissemination`."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._me = me
         self._on_records = on_records
         self._dispatcher = dispatcher
-        self._talk = dissemination
+        self._dissemination = dissemination
         self._metrics = metrics
         self._transport = Transport(
             codec=Codec(messages=DirectMessage),
@@ -74,7 +74,7 @@
         self._stopping.set()
         if self._thread not in (None, threading.current_thread()):
             self._thread.join()
-        self._send_all(self._talk.leave_messages())
+        self._send_all(self._dissemination.leave_messages())
         self._transport.close()
 
     def alive(self) -> bool:
@@ -83,7 +83,7 @@
         return running and self._transport.alive()
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send a message to one entry; dropped if that entry can't be reached."""
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
         peer = self._dispatcher.known_peers().get(name)
         if peer is not None:
             self._send(
@@ -93,12 +93,12 @@
     def _run(self) -> None:
         while not self._stopping.wait(TICK_S):
             try:
-                self._send_all(self._talk.tick())
+                self._send_all(self._dissemination.tick())
                 for address in self._dispatcher.forget_gone_peers():
                     self._transport.forget(address)
             except Exception:
                 # An error in one tick must not stop the queues from being served.
-                log.exception("tick failed")
+                log.exception("gossip tick failed")
 
     def _send_all(self, messages: list[OutgoingMessage]) -> None:
         for message in messages:
@@ -123,7 +123,7 @@
             return
         message = envelope.message
         if isinstance(message, (SharedState, GroupStates)):
-            self._send_all(self._talk.receive(envelope.sender, message))
+            self._send_all(self._dissemination.receive(envelope.sender, message))
         elif isinstance(message, CrashEvidence):
             self._dispatcher.receive_crash_evidence(message)
         elif isinstance(message, RecordsMessage):
--- a/lavenderspoke/direct/inforce.py
+++ b/lavenderspoke/direct/inforce.py
@@ -15,9 +15,9 @@
 
     API keys are accepted only while the last successful read is younger than
     `key_age_max_s`. A revoked key must stop working even at an entry that can't read
-    the store any more, a case that the entry can't distinguish from an unchanged
-    configuration. The age counts from when the read was sent, since the response may
-    have been delayed, on a clock that includes time spent suspended.
+    the store any more, and such an entry can't know whether the configuration has
+    changed. The age counts from when the read was sent, since the response may have
+    been delayed. `clock` must include time spent suspended.
     """
 
     def __init__(self, *, clock: Clock, key_age_max_s: float):
@@ -33,7 +33,7 @@
         return self._catalog
 
     def offer(self, catalog: Catalog) -> bool:
-        """Put a catalog in force if its version is newer; return whether it is."""
+        """Put a catalog in force if its version is newer; return whether it was."""
         with self._lock:
             current = self._catalog
             if current is not None and catalog.version <= current.version:
@@ -49,13 +49,13 @@
         return True
 
     def confirm(self, sent_s: float) -> None:
-        """Record that a read sent at `sent_s` returned the catalog in force."""
+        """Record that a read sent at `sent_s` showed no newer catalog."""
         with self._lock:
             if self._confirmed_s is None or sent_s > self._confirmed_s:
                 self._confirmed_s = sent_s
 
     def age_s(self) -> float | None:
-        """Return the time since the last successful read was sent, None before one."""
+        """Return the time since the last confirming read was sent, None before one."""
         if self._confirmed_s is None:
             return None
         return self._clock.monotonic_s() - self._confirmed_s
--- a/lavenderspoke/direct/messages.py
+++ b/lavenderspoke/direct/messages.py
@@ -15,9 +15,10 @@
     """An entry's totals for a service's roll-out, since the entry started.
 
     `number` identifies the order, `stage` is the latest stage that the entry knows, and
-    `elapsed_s` how long it has known of the order. It sent `requests` to the service,
-    `to_target` of them to the target version. Rows of `routes` are route, responses and
-    bad responses of the target, and responses and bad responses of other versions.
+    `elapsed_s` the time since any entry first saw the order. The entry sent `requests`
+    to the service, `to_target` of them to the target version. A row of `routes` is the
+    route, the target's responses and how many of them were bad, and the same of the
+    other versions.
     """
 
     service: str
@@ -37,9 +38,9 @@
       tokens still to be prefilled.
     - `waiting`, `held`: service to rows of customer rank, route rank and number of
       requests, for those queued (`waiting`) and those at upstreams (`held`).
-    - `spent`: customer to rows of route rank, and the cost admitted and requested since
+    - `spent`: customer to rows of route rank, cost admitted and cost requested, since
       the entry started. Customers without a change may be left out.
-    - `rollouts`: the services whose version is being changed.
+    - `rollouts`: what the entry knows of each service's roll-out.
 
     Events since the last message:
 
@@ -69,7 +70,7 @@
 
 @attrs.frozen(kw_only=True)
 class PassedOn:
-    """An entry's state, forwarded `age_s` seconds after another entry received it.
+    """An entry's state, first forwarded `age_s` seconds after its receipt.
 
     Several states of an entry are combined into the last one, with the events of all.
     """
@@ -81,7 +82,7 @@
 
 @attrs.frozen(kw_only=True)
 class GroupStates:
-    """States of an entry and its neighbours, forwarded to another group.
+    """States of an entry and its neighbours, forwarded to another group (`topology`).
 
     With `to_neighbours`, the recipient forwards them to its own neighbours.
     """
@@ -92,11 +93,11 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsAsked:
-    """Queries another entry for its records of a topic of the platform's log.
+    """Queries another entry for its records of a topic of the platform's store.
 
     `from_offset` is the offset of the sender's next read, -1 before its first one.
     `asked_s` is the send time on the sender's clock and is returned in the reply.
-    `in_full` requests records of any size, since the sender can't read the log.
+    `in_full` requests records of any size, since the sender can't read the store.
     """
 
     topic: str
@@ -109,11 +110,12 @@
 class RecordsTold:
     """The reply to a query: the newest record of each key since the queried offset.
 
-    `age_s` is the time since the log read behind it was sent, in seconds. The receiver
-    subtracts it from `asked_s`, since the reply was composed later than that. Records
-    are rows of key, value and offset, in offset order; a value of None is a tombstone.
-    With `whole` they are a snapshot of all keys. With `too_large` the records are left
-    out, and the receiver should read them from the log.
+    `age_s` is the time since the store read behind it was sent, in seconds. The reply
+    was composed after `asked_s`, so the read was sent no earlier than `asked_s` minus
+    `age_s`, which the receiver takes as its time. Records are rows of key, value and
+    offset, in offset order; a value of None is a tombstone. With `whole` they are a
+    snapshot of all keys. With `too_large` the records are left out, and the receiver
+    should read them from the store.
     """
 
     topic: str
@@ -129,7 +131,7 @@
 class RecordsNews:
     """Notifies other entries that the sender has read a topic up to an offset.
 
-    Only an entry that is behind queries the records, which saves traffic for the rest.
+    Entries that are behind query the records, so those that aren't cause no traffic.
     """
 
     topic: str
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -24,16 +24,16 @@
         """Return whether messages are being sent and received."""
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send a message to one entry; dropped if that entry can't be reached."""
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
 
 
 class PeerLinkLoader:
     """Loads the link to the other entries in the background, and runs it.
 
     The link's libraries take a large part of the startup time, and after a failure of
-    all entries, callers waiting at the port would wait for them too. An entry without
-    the link keeps to its own share of the limits, so it may serve before the link is
-    loaded. `load` imports and returns it.
+    all entries, callers at the port would also wait until they are loaded. An entry
+    without the link keeps to its own share of the limits, so it may serve before the
+    link is loaded. `load` imports and returns it.
     """
 
     def __init__(self, *, load: Callable[[], PeerLink]):
@@ -41,7 +41,7 @@
         self._link: PeerLink | None = None
         self._stopped = False
         self._lock = threading.Lock()
-        self._loader: threading.Thread | None = None
+        self._start_thread: threading.Thread | None = None
         # Why the link failed to start; empty after a successful start.
         self._start_error = ""
 
@@ -49,8 +49,10 @@
         """Load and start the link, or restart one that was loaded before."""
         with self._lock:
             self._stopped = False
-        self._loader = threading.Thread(target=self._run, name="peers", daemon=True)
-        self._loader.start()
+        self._start_thread = threading.Thread(
+            target=self._load_and_start, name="peers", daemon=True
+        )
+        self._start_thread.start()
 
     def stop(self) -> None:
         """Stop the link; if it is still loading, it is not started afterwards."""
@@ -62,20 +64,20 @@
 
     def alive(self) -> bool:
         """Return whether the link is running or being loaded."""
-        loading = self._loader is not None and self._loader.is_alive()
+        loading = self._start_thread is not None and self._start_thread.is_alive()
         return loading or (self._link is not None and self._link.alive())
 
     def send_to_peer(self, name: str, message: RecordsMessage) -> None:
-        """Send a message to one entry; dropped if that entry can't be reached."""
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
         if self._link is not None:
             self._link.send_to_peer(name, message)
 
-    def wait_loaded(self, timeout_s: float) -> None:
+    def wait_started(self, timeout_s: float) -> None:
         """Wait until the link has started or failed to, at most `timeout_s` seconds."""
-        if self._loader is not None:
-            self._loader.join(timeout_s)
+        if self._start_thread is not None:
+            self._start_thread.join(timeout_s)
 
-    def _run(self) -> None:
+    def _load_and_start(self) -> None:
         try:
             link = self._link or self._load()
             with self._lock:
@@ -93,7 +95,8 @@
     def _log_start_error(self, error: Exception) -> None:
         """Log the error, unless it is the same as at the last attempt.
 
-        The part then isn't alive, so the supervisor retries every few seconds.
+        The part isn't alive then; the supervisor retries every few seconds, and each
+        attempt would log the same error.
         """
         error_text = repr(error)
         if error_text != self._start_error:
--- a/lavenderspoke/direct/records.py
+++ b/lavenderspoke/direct/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's log, whose topics map keys to values."""
+"""Records of the platform's store, whose topics are logs of keyed records."""
 
 from typing import Protocol
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class OffsetExpired:
-    """The requested offset is past retention; the log now begins at `first_offset`."""
+    """The requested offset has expired; the topic now begins at `first_offset`."""
 
     first_offset: int
 
@@ -42,7 +42,7 @@
 
 
 class RecordStore(Protocol):
-    """A client of the log. Not thread-safe."""
+    """A client of the platform's store. Not thread-safe."""
 
     def newest(self, topic: str) -> Result[RecordBatch, StoreError]:
         """Return the newest record of each key of a topic."""
--- a/lavenderspoke/direct/relay.py
+++ b/lavenderspoke/direct/relay.py
@@ -3,15 +3,15 @@
 Calls to the store cost money and count against a rate limit that all entries share,
 and most return nothing new. So normally only two entries (the readers) read the store,
 and the others (the followers) query one of them. With 26 entries that is a fifth of the
-calls. The same replies serve an entry whose calls the store rejects while it accepts
-those of others.
+calls. The readers are the first two live entries by name, as each entry sees them. An
+entry whose calls the store rejects uses the replies of the others, too.
 
 For urgent topics, a reader notifies the other entries of new records, and they query
 it at once.
 
-A reply carries the age of the store read behind it, and the receiver counts that age
-back from the time of its query. A delayed reply therefore never looks fresher than it
-is, and an entry may accept API keys on the basis of relayed records.
+A reply carries the age of the store read behind it, and the receiver subtracts that age
+from the time at which it sent the query. A delayed reply therefore never looks fresher
+than it is, which is why an entry may accept API keys because of relayed records.
 """
 
 import threading
@@ -38,11 +38,12 @@
 # How long after a received query an entry counts as having followers, in seconds.
 # Longer than the interval between queries of an entry that the store rejects.
 FOLLOWER_TIMEOUT_S = 5.0
-# Limit on the values in one reply to an entry that can read the store itself, in bytes.
+# Limit on the total size of a reply's values, unless the query has `in_full`, in bytes.
 # A configuration with hundreds of routes takes a hundred kilobytes; a dozen entries
 # requesting it at once would saturate a small instance's 5 Mbit/s link for seconds.
 REPLY_BYTES_MAX = 8 * 1024
-# Tombstones kept per topic. A query from below the discarded ones gets a snapshot.
+# Limit on tombstones per topic. Above it all are discarded, and a query from an offset
+# not above the newest of them gets a snapshot.
 TOMBSTONES_MAX = 1000
 
 log = logbook.Logger(__name__)
@@ -68,13 +69,14 @@
         return self._next_offset
 
     def age_s(self, now_s: float) -> float:
-        """Return the time since the newest underlying read was sent, else infinity."""
+        """Return the time since the last read was sent, infinity before the first."""
         return float("inf") if self._read_sent_s is None else now_s - self._read_sent_s
 
     def put(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> None:
         """Merge the result of a read sent at `sent_s`.
 
-        A snapshot replaces all records unless it is older than the cache.
+        A snapshot replaces all records, unless it is older than the cache: then it is
+        merged like any batch.
         """
         with self._lock:
             if is_snapshot and batch.next_offset >= (self._next_offset or 0):
@@ -90,15 +92,15 @@
             self._prune_tombstones()
 
     def reply_to(self, query: RecordsAsked, now_s: float) -> RecordsTold | None:
-        """Return the reply to a query, or None if this cache is behind the sender's."""
+        """Return the reply, or None if this cache is empty or behind the query."""
         with self._lock:
             if self._next_offset is None or query.from_offset > self._next_offset:
                 return None
-            whole = query.from_offset < self._complete_from_offset
+            is_snapshot = query.from_offset < self._complete_from_offset
             records = [
                 r for r in self._newest.values() if r.offset >= query.from_offset
             ]
-            if whole:
+            if is_snapshot:
                 records = [r for r in self._newest.values() if r.value is not None]
             records.sort(key=lambda record: record.offset)
             size_bytes = sum(len(r.value or b"") for r in records)
@@ -110,7 +112,7 @@
                 asked_s=query.asked_s,
                 age_s=self.age_s(now_s),
                 next_offset=self._next_offset,
-                whole=whole,
+                whole=is_snapshot,
                 records=tuple((r.key, r.value, r.offset) for r in records),
                 too_large=too_large,
             )
@@ -169,7 +171,7 @@
         self._feeds[feed.topic] = feed
 
     def is_follower(self) -> bool:
-        """Return whether this entry relies on the readers instead of the store."""
+        """Return whether this entry relies on the readers, and log a change."""
         is_follower = self._peers.name not in self._reader_names()
         if is_follower != self._was_follower:
             self._was_follower = is_follower
@@ -183,7 +185,8 @@
     def has_followers(self) -> bool:
         """Return whether other entries rely on what this entry reads.
 
-        Recent queries count too: a reader that the store rejects queries any peer.
+        A recent query on any topic counts, too: an entry that the store rejects queries
+        any peer.
         """
         if self._clock.monotonic_s() < self._last_query_received_s + FOLLOWER_TIMEOUT_S:
             return True
@@ -197,11 +200,11 @@
         self._query(topic, self._reader_names(), in_full=False)
 
     def query_any_peer(self, topic: str) -> None:
-        """Query any live peer, since the store may be rejecting the readers."""
+        """Query a random live peer, since the store may be rejecting the readers."""
         self._query(topic, self._peers.live_peer_names(), in_full=True)
 
     def notify_peers(self, feed: RelayedFeed) -> None:
-        """Notify the peers of new records that this entry has read, if it is a reader.
+        """Notify peers of new records if the topic is urgent and this entry a reader.
 
         Without this, a follower that queries a reader with a hung read would get a new
         configuration only once its own state counts as stale, 1.4 s later.
@@ -229,7 +232,11 @@
         """Handle a query, reply or notification from another entry."""
         feed = self._feeds.get(message.topic)
         if feed is None:
-            log.warning("unknown topic", topic=message.topic, peer=sender.name)
+            log.warning(
+                "records message for unknown topic ignored",
+                topic=message.topic,
+                peer=sender.name,
+            )
         elif isinstance(message, RecordsNews):
             if message.next_offset > (feed.cache.next_offset or 0):
                 self._query(feed.topic, [sender.name], in_full=False)
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -7,7 +7,7 @@
 
 # Share of the platform's retry budget that entries use. The platform counts retries in
 # a sliding window, within which entries can spend both a full balance and the retries
-# added to it meanwhile.
+# added to it meanwhile, so the share is below one half.
 RETRY_BUDGET_SHARE = 0.45
 # Time allowed between the freshness check of a key and the dispatch, in seconds.
 KEY_MARGIN_S = 0.4
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """A listen address."""
+    """Host and port of a TCP endpoint."""
 
     host: str
     port: int
@@ -31,8 +31,8 @@
       entries.
     - `quota_tolerance`: how far a customer may exceed its limit, counted in any
       `quota_window_s`.
-    - `drain_s`: time in which an upstream gets its last request after it announces that
-      it is leaving.
+    - `drain_s`: how long requests may be sent to an upstream after it announces that it
+      is leaving.
     - `apply_s`: time until a configuration is in force after the store accepted it.
     - `rollout`: limits on the requests sent to a bad version.
     """
