--- a/features/direct_spreading.feature
+++ b/features/direct_spreading.feature
@@ -2,9 +2,9 @@
   Simulated without a network: each message takes 1 to 3 ms on a simulated clock.
 
   Scenario Outline: Every entry sees every other as live
-    Entries of several data centres, each with its own requests. An entry without
-    messages for a second counts as silent: the others reduce their limits to their share, and
-    the slots of its requests are assigned a second time.
+    Entries of several data centres, each with its own requests. An entry not
+    heard for a second counts as silent: the others then keep to their own share of the
+    limits, and assign the slots of its requests a second time.
     Given <entries> entries in <data centres> data centres
     When they run for 3 s
     Then for the last 2 s each saw every other as live
@@ -22,10 +22,10 @@
     silent at times.
     Given 68 entries in 6 data centres, and 136 in 6
     When they run for 2 s, and for 2 s more while each starts requests
-    Then each of the larger fleet sends at most 1.5 times as many messages as in the smaller
+    Then an entry of the larger fleet sends on average at most 1.5 times as many messages
     And a request that starts to run is known to all of the larger fleet within 400 ms
 
-  Scenario: The entry that forwards for its group is killed
+  Scenario: An entry that forwards for its group is killed
     The other groups get no state of its group for half a second; then another member
     forwards. Only the killed entry may count as silent meanwhile.
     Given 68 entries in 6 data centres
@@ -35,12 +35,12 @@
 
   Scenario: Half of the entries freeze and resume
     Given 24 entries in 3 data centres
-    When they run for 2 s, and every second one freezes for 4 s
+    When they run for 2 s, every second one freezes for 4 s, and 1.5 s pass
     Then for the last 0.5 s each saw every other as live
 
   Scenario: All entries start within 0.3 s
-    The platform lists to each entry only those that started before it, and reads of the
-    list are seconds apart. Each must still learn of those that started later.
+    An entry's first read of the platform's list shows only those that started before it.
+    Reads are seconds apart, but each must learn of those that started later.
     Given 68 entries in 6 data centres that start within 0.3 s
     When they run for 1.5 s
     Then each sees every other as live
@@ -61,23 +61,23 @@
     Then it keeps the state of the second incarnation, whose usage counts once
 
   Scenario: All entries learn of each refusal, also when messages are combined
-    Refused callers retry at any entry, which gives retries precedence. Several states
-    combined for forwarding must contain all refusals.
+    Refused callers may retry at any entry, and each entry gives retries precedence.
+    Several states combined for forwarding must contain all refusals.
     Given 24 entries in 3 data centres
     When they run for 2 s, and one refuses a request every 10 ms for 1 s
     And they run for 0.5 s
     Then each entry expects retries of all refused requests
 
   Scenario: One entry finds that an upstream is gone
-    Otherwise a request of each entry would be rejected there before the entry knows.
+    It shares what it found. Otherwise one request of each entry would be rejected there.
     Given 24 entries in 3 data centres
     When they run for 2 s, and one finds another upstream at an upstream's address
     And they run for 0.25 s
     Then none of the entries sends a request there
 
   Scenario: Two entries can't reach an upstream
-    Upstreams lose power. A connection to them fails only after 0.4 s. Otherwise at each
-    entry one request would wait for that, and another one after each pause.
+    Upstreams lose power. A connection to them fails only after 0.4 s. If entries didn't
+    share this, at each one a request would wait for that, and one more after each pause.
     Given 24 entries in 3 data centres
     When they run for 2 s, and entries 1 and 2 can't reach the upstream
     And they run for 0.2 s
--- a/features/direct_start.feature
+++ b/features/direct_start.feature
@@ -1,6 +1,6 @@
 Feature: Startup of an entry that uses direct dispatch
-  After a failure of all entries at once, callers are already connecting to their ports
-  while they start.
+  After a failure of all entries at once, callers already connect to the entries' ports
+  while the entries start.
 
   Scenario: A caller connects while the entry still loads its libraries
     Only the port is open at that time. If the connection were refused, the caller would
@@ -13,13 +13,13 @@
     All callers of an instance wait while it loads. Loaded modules stay in memory, so
     garbage collection during the load finds nothing. Searching the machine's
     site-packages is also useless, since the daemon's libraries are installed beside it.
-    When the daemon is loaded without the machine's packages
+    When the daemon is loaded without a search of site-packages (-S)
     Then no garbage collection ran during the load, and it is enabled afterwards
     And the deployed command loads it that way
 
   Scenario: Callers arrive while the link to the other entries is still loading
-    The link's libraries take a sixth of the startup time. Callers at the port wait for
-    them too unless they are loaded while the first requests are served.
+    The link's libraries take a sixth of the startup time. Callers at the port must not
+    wait until they are loaded, too.
     Given a link to the other entries that takes a while to load
     When its part is started
     Then the part is alive at once, and messages sent before the load are dropped
@@ -37,7 +37,7 @@
     Given a link to the other entries that fails at first
     When its part is started
     And the link has been loaded
-    Then the part is dead, and alive after it is started again
+    Then the part isn't alive until it is started again
 
   Scenario: A settings file that can't be read
     Then no socket is opened, and the daemon reports the error
@@ -48,8 +48,7 @@
     Then the request was held for 0.2 s, and the next one isn't held
 
   Scenario: The store doesn't respond at startup
-    The request must be refused soon because the entry has no configuration, not after
-    seconds.
+    Without a configuration the request must be refused soon, not after seconds.
     Given an entry that has just started
     When a request arrives and the entry's initial state is never complete
     Then the request was held for 0.8 s, and the next one isn't held
@@ -64,8 +63,8 @@
   Scenario: One customer's requests wait at all entries while they start
     Five entries restart together after a power loss of a second, each with a dozen
     requests of the busiest customer at its port. Usage in the window before is unknown,
-    so in total only the tolerance above the limit may pass. Entries that
-    receive each other's state at once don't know yet how much each of them let through.
+    so in total no more than the tolerance may pass. Although the entries receive each
+    other's state at once, they don't know yet how much each of them let through.
     Given 5 entries that start together, a limit of 1000 a second and 2000 tolerated
     When 12 requests of 100 tokens arrive at each entry at the same time
     Then at most 2000 tokens pass in total, and at least 500
--- a/features/direct_stop.feature
+++ b/features/direct_stop.feature
@@ -1,5 +1,5 @@
 Feature: Shutdown of an entry that uses direct dispatch
-  The server is paused at a point where a busy machine could suspend it.
+  In the first two scenarios the server is paused where a busy machine could suspend it.
 
   Scenario: The last chunk of a stream isn't written yet
     Guards against an exit between a stream's last event and its final chunk.
--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -16,6 +16,7 @@
 from lavenderspoke.observing.metrics import Metrics
 
 TICK_S = 0.02
+# Range of message delays, in seconds.
 DELAYS_S = (0.001, 0.003)
 CHECK_INTERVAL_S = 0.1
 SERVICE = "narrative"
@@ -70,10 +71,11 @@
 class Fleet:
     """Entries whose messages are delivered with a delay."""
 
-    def __init__(self, *, entries: int, data_centres: int, start_s: float = 0.0):
+    def __init__(self, *, entries: int, data_centres: int, start_within_s: float = 0.0):
         self.clock = ManualClock()
         self.sent: Counter[str] = Counter()
-        self.forwarding: set[str] = set()
+        # Names of the entries that have forwarded a message to another group.
+        self.forwarders: set[str] = set()
         # Time of each check, and the result of `not_live`.
         self.checks: list[tuple[float, list[tuple[str, str]]]] = []
         self._events: list = []
@@ -88,8 +90,10 @@
                 seed=number,
             )
             self.entries[entry.me.name] = entry
-            begin_s = start_s * number / entries
-            self.at(begin_s, lambda entry=entry: self._start(entry, start_s > 0.0))
+            begin_s = start_within_s * number / entries
+            self.at(
+                begin_s, lambda entry=entry: self._start(entry, start_within_s > 0.0)
+            )
         self.at(CHECK_INTERVAL_S, self._check)
 
     @property
@@ -123,7 +127,7 @@
         return entry
 
     def not_live(self) -> list[tuple[str, str]]:
-        """Return pairs of running entries whose first sees the second as silent."""
+        """Return pairs of running entries: one, and another that it sees as silent."""
         running = {n: e for n, e in self.entries.items() if not e.is_down}
         return [
             (name, missing)
@@ -136,7 +140,7 @@
     def send(self, sender: Entry, outgoing, delay_s: float | None = None) -> None:
         self.sent[sender.me.name] += 1
         if getattr(outgoing.message, "to_neighbours", False):
-            self.forwarding.add(sender.me.name)
+            self.forwarders.add(sender.me.name)
         delay_s = delay_s or self._random.uniform(*DELAYS_S)
         self.at(self.now_s + delay_s, lambda: self._deliver(sender, outgoing))
 
@@ -194,7 +198,7 @@
 
 
 def known_within_s(fleet: Fleet) -> float:
-    """Return the time until all entries know of a request that starts to run."""
+    """Start a request at the first entry; return the time until all know of it."""
     first, *others = fleet.entries.values()
     begin_request(first)
     started_s = fleet.now_s
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -19,7 +19,7 @@
 from lavenderspoke.direct.messages import PassedOn, SharedState
 from lavenderspoke.model import InstanceId
 
-# Delay with which a state from before an entry left is forwarded, in seconds.
+# How long after an entry left one of its earlier states arrives, in seconds.
 LATE_S = 0.25
 REQUEST = accepted_request(resumable=False, attempts_max=1)
 
@@ -40,7 +40,7 @@
 
 @given("{entries:d} entries in {data_centres:d} data centres that start within {s:g} s")
 def step_start(context, entries, data_centres, s):
-    context.fleet = Fleet(entries=entries, data_centres=data_centres, start_s=s)
+    context.fleet = Fleet(entries=entries, data_centres=data_centres, start_within_s=s)
     context.fleets = [context.fleet]
 
 
@@ -66,11 +66,14 @@
 @when("they run for {seconds:g} s, and one that forwards is killed")
 def step_kill(context, seconds):
     context.fleet.run(seconds)
-    name = min(context.fleet.forwarding)
+    name = min(context.fleet.forwarders)
     context.fleet.entries[name].is_down = True
 
 
-@when("they run for {seconds:g} s, and every second one freezes for {frozen_s:g} s")
+@when(
+    "they run for {seconds:g} s, every second one freezes for {frozen_s:g} s, "
+    "and 1.5 s pass"
+)
 def step_freeze(context, seconds, frozen_s):
     fleet = context.fleet
     fleet.run(seconds)
@@ -88,6 +91,7 @@
     fleet = context.fleet
     fleet.run(seconds)
     context.left = entry = fleet.entries["entry-7"]
+    # Numbered above all states sent, so that only the leave message can reject it.
     late = PassedOn(
         sender=entry.me,
         age_s=0.1,
@@ -127,7 +131,7 @@
 
 @then("none of the entries sends a request there")
 def step_none_sends(context):
-    assert not senders(context)
+    assert not submit_everywhere(context)
 
 
 @when(
@@ -144,7 +148,7 @@
         )
 
 
-def senders(context) -> set[str]:
+def submit_everywhere(context) -> set[str]:
     """Submit a request at each entry; return the entries that got a slot for it."""
     sending = set()
     for name, entry in context.fleet.entries.items():
@@ -156,18 +160,18 @@
 
 @then("each of the entries sends a request there")
 def step_each_sends(context):
-    assert senders(context) == set(context.fleet.entries)
+    assert submit_everywhere(context) == set(context.fleet.entries)
 
 
 @then("all but entry {first:d} send a request there")
 @then("all but entries {first:d} and {second:d} send a request there")
 def step_all_but(context, first, second=None):
     without = {f"entry-{first}", f"entry-{second}"}
-    assert senders(context) == set(context.fleet.entries) - without
+    assert submit_everywhere(context) == set(context.fleet.entries) - without
 
 
 @given("an entry with state of the second incarnation of another")
-def step_second_life(context):
+def step_second_incarnation(context):
     context.clock = ManualClock()
     context.entry = Entry(
         name="entry-0", data_centre="dc-0", clock=context.clock, seed=1
@@ -201,7 +205,7 @@
 
 
 @when("a state of the first incarnation is forwarded to it")
-def step_passed_on(context):
+def step_forwarded(context):
     late = PassedOn(
         sender=InstanceId(name="entry-1", incarnation="1"),
         age_s=0.2,
@@ -218,7 +222,7 @@
 
 
 @then("for the last {seconds:g} s each saw every other as live")
-def step_each_heard(context, seconds):
+def step_live_throughout(context, seconds):
     since_s = context.fleet.now_s - seconds
     checks = [each for each in context.fleet.checks if each[0] >= since_s]
     assert len(checks) >= seconds / CHECK_INTERVAL_S - 1, len(checks)
@@ -227,7 +231,7 @@
 
 
 @then("each sees every other as live")
-def step_each_hears(context):
+def step_live_now(context):
     assert context.fleet.not_live() == [], context.fleet.not_live()[:5]
 
 
@@ -247,8 +251,8 @@
 
 
 @then(
-    "each of the larger fleet sends at most {times:g} times as many messages as in the "
-    "smaller"
+    "an entry of the larger fleet sends on average at most {times:g} times as many "
+    "messages"
 )
 def step_messages(context, times):
     few, many = (
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -50,18 +50,21 @@
     return str(path)
 
 
-class SlowLink:
-    """A link that loads once `go` is set, and records calls."""
+class FakeLink:
+    """A link that loads once `may_load` is set, and records calls.
+
+    Its first `failures` starts fail.
+    """
 
     def __init__(self, *, failures: int = 0):
-        self.go = threading.Event()
+        self.may_load = threading.Event()
         self.starts = 0
         self.sent_to: list[str] = []
         self._failures = failures
         self._running = False
 
-    def load(self) -> "SlowLink":
-        assert self.go.wait(ANSWER_WAIT_S)
+    def load(self) -> "FakeLink":
+        assert self.may_load.wait(ANSWER_WAIT_S)
         return self
 
     def start(self) -> None:
@@ -83,13 +86,13 @@
 
 @given("a link to the other entries that takes a while to load")
 def step_slow_link(context):
-    context.link = SlowLink()
+    context.link = FakeLink()
     context.part = PeerLinkLoader(load=context.link.load)
 
 
 @given("a link to the other entries that fails at first")
 def step_failing_link(context):
-    context.link = SlowLink(failures=1)
+    context.link = FakeLink(failures=1)
     context.part = PeerLinkLoader(load=context.link.load)
 
 
@@ -100,7 +103,7 @@
 
 @when("the link has been loaded")
 def step_link_loaded(context):
-    context.link.go.set()
+    context.link.may_load.set()
     context.part.wait_started(ANSWER_WAIT_S)
 
 
@@ -130,7 +133,7 @@
     assert context.link.starts == 0 and not context.part.alive()
 
 
-@then("the part is dead, and alive after it is started again")
+@then("the part isn't alive until it is started again")
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
@@ -138,7 +141,7 @@
     assert context.part.alive() and context.link.starts == 1
 
 
-@when("the daemon is loaded without the machine's packages")
+@when("the daemon is loaded without a search of site-packages (-S)")
 def step_load(context):
     libraries = sysconfig.get_path("platlib")
     done = subprocess.run(
@@ -226,45 +229,45 @@
 @given("an entry that has just started")
 def step_started(context):
     context.clock = StepClock()
-    context.known_from_s = float("inf")
-    context.opening = StartupHold(
-        is_ready=lambda: context.clock.monotonic_s() >= context.known_from_s,
+    context.complete_from_s = float("inf")
+    context.startup_hold = StartupHold(
+        is_ready=lambda: context.clock.monotonic_s() >= context.complete_from_s,
         clock=context.clock,
     )
 
 
-def held_s(context) -> float:
+def measure_hold_s(context) -> float:
     before_s = context.clock.monotonic_s()
-    context.opening.wait()
+    context.startup_hold.wait()
     return context.clock.monotonic_s() - before_s
 
 
 @then("it isn't ready until its initial state is complete or {seconds:g} s have passed")
-def step_is_over(context, seconds):
-    assert not context.opening.is_over()
-    context.known_from_s = context.clock.monotonic_s()
-    assert context.opening.is_over()
-    context.known_from_s = float("inf")
-    assert not context.opening.is_over()
+def step_not_ready_before(context, seconds):
+    assert not context.startup_hold.is_over()
+    context.complete_from_s = context.clock.monotonic_s()
+    assert context.startup_hold.is_over()
+    context.complete_from_s = float("inf")
+    assert not context.startup_hold.is_over()
     context.clock.advance(seconds)
-    assert context.opening.is_over()
+    assert context.startup_hold.is_over()
 
 
 @when("a request arrives and the entry's initial state is complete {seconds:g} s later")
-def step_knows(context, seconds):
-    context.known_from_s = context.clock.monotonic_s() + seconds
-    context.held_s = held_s(context)
+def step_complete_later(context, seconds):
+    context.complete_from_s = context.clock.monotonic_s() + seconds
+    context.held_s = measure_hold_s(context)
 
 
 @when("a request arrives and the entry's initial state is never complete")
-def step_never(context):
-    context.held_s = held_s(context)
+def step_never_complete(context):
+    context.held_s = measure_hold_s(context)
 
 
 @then("the request was held for {seconds:g} s, and the next one isn't held")
 def step_held(context, seconds):
     assert abs(context.held_s - seconds) < 0.02, context.held_s
-    assert held_s(context) < 0.02
+    assert measure_hold_s(context) < 0.02
 
 
 @given(
@@ -305,7 +308,7 @@
 
 
 def exchange_states(context) -> None:
-    """Deliver each entry's state without spent tokens to all others."""
+    """Let each entry receive a state without usage from every other, and tick."""
     context.number = getattr(context, "number", 0) + 1
     for name, dispatcher in context.dispatchers.items():
         for peer in context.dispatchers:
@@ -322,7 +325,7 @@
 
 
 @when("{count:d} requests of {cost:d} tokens arrive at each entry at the same time")
-def step_instant(context, count, cost):
+def step_requests_arrive(context, count, cost):
     context.passed = sum(
         cost
         for dispatcher in context.dispatchers.values()
@@ -337,7 +340,7 @@
 
 
 @then("after {seconds:g} s a single entry may admit a full bucket")
-def step_alone(context, seconds):
+def step_full_bucket(context, seconds):
     context.clock.advance(seconds)
     exchange_states(context)
     dispatcher = context.dispatchers["entry-0"]
--- a/features/steps/direct_stop_steps.py
+++ b/features/steps/direct_stop_steps.py
@@ -14,7 +14,8 @@
 from lavenderspoke.platform.wire import PlatformDialect
 from standins.processes import HOST, free_port
 
-# A drain that reads the clock this many more times has found a request each time.
+# The drain reads the clock once for each check for requests in flight. After this many
+# more checks it counts as still waiting for one.
 READINGS = 4
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
@@ -31,13 +32,13 @@
 
 
 class StoppingEntry:
-    """An entry that responds to each request with a short stream, and can't exit."""
+    """An entry that responds with a short stream, and whose exit only sets `exited`."""
 
     def __init__(self, context):
         self.clock = CountedClock(start_s=100.0)
-        self.held = threading.Event()
-        self.go = threading.Event()
-        self.ended = threading.Event()
+        self.paused = threading.Event()
+        self.may_continue = threading.Event()
+        self.exited = threading.Event()
         settings = DirectSettings(
             name="entry-1",
             data_centre="here",
@@ -52,13 +53,13 @@
         self.entry._feeds = mock.Mock()
         self.entry._app._handle = self._stream
         exits = mock.patch(
-            "lavenderspoke.direct.daemon.os._exit", lambda status: self.ended.set()
+            "lavenderspoke.direct.daemon.os._exit", lambda status: self.exited.set()
         )
         exits.start()
         context.add_cleanup(exits.stop)
         self.entry._caller_server.start()
         context.add_cleanup(self.entry._caller_server.stop)
-        context.add_cleanup(self.go.set)
+        context.add_cleanup(self.may_continue.set)
         self.server = self.entry._caller_server.server
         wait_for(lambda: self.server.ready, "the server serves")
 
@@ -68,45 +69,45 @@
         self.caller = socket.create_connection(address, timeout=WAIT_S)
         context.add_cleanup(self.caller.close)
 
-    def hold_last_chunk(self) -> None:
+    def pause_last_chunk(self) -> None:
         """Pause each request after its application has finished."""
-        holding = self
+        stopping_entry = self
 
-        class HeldGateway(self.server.gateway):
+        class PausedGateway(self.server.gateway):
             def respond(self):
                 super().respond()
-                holding.held.set()
-                holding.go.wait()
+                stopping_entry.paused.set()
+                stopping_entry.may_continue.wait()
 
-        self.server.gateway = HeldGateway
+        self.server.gateway = PausedGateway
 
-    def hold_threads(self) -> None:
+    def occupy_threads(self) -> None:
         """Make all threads seem busy."""
 
         def waited(connection) -> bool:
-            self.held.set()
-            return self.go.wait()
+            self.paused.set()
+            return self.may_continue.wait()
 
         self.server._has_thread = lambda: False
         self.server._waited_for_thread = waited
 
     def stop(self) -> None:
-        """Send the stop signal, and advance past the time of accepting requests."""
+        """Call the signal handler, and advance past the time of accepting requests."""
         threading.Thread(target=self.entry._drain, daemon=True).start()
         self.entry._on_stop(signal.SIGTERM, None)
         readings = self.clock.readings
         wait_for(lambda: self.clock.readings > readings + 1, "the drain has begun")
         self.clock.advance(DRAIN_ACCEPT_S)
 
-    def stays(self) -> bool:
-        """Return whether it keeps running for some more readings of the clock."""
-        wait_for(lambda: self.ended.is_set() or self.entry._app.refusing, "refusing")
+    def keeps_running(self) -> bool:
+        """Return whether it keeps running for some more checks of the drain."""
+        wait_for(lambda: self.exited.is_set() or self.entry._app.refusing, "refusing")
         readings = self.clock.readings
         wait_for(
-            lambda: self.ended.is_set() or self.clock.readings > readings + READINGS,
+            lambda: self.exited.is_set() or self.clock.readings > readings + READINGS,
             "the drain goes on",
         )
-        return not self.ended.is_set()
+        return not self.exited.is_set()
 
     @staticmethod
     def _stream(http_request, start_response, journey):
@@ -115,21 +116,21 @@
 
 
 @given("an entry whose server is paused before the last chunk of a stream")
-def step_held_chunk(context):
+def step_paused_chunk(context):
     context.stopping = StoppingEntry(context)
-    context.stopping.hold_last_chunk()
+    context.stopping.pause_last_chunk()
     context.stopping.connect(context)
 
 
 @given("an entry whose server has no free thread")
-def step_held_threads(context):
+def step_no_free_thread(context):
     context.stopping = StoppingEntry(context)
-    context.stopping.hold_threads()
+    context.stopping.occupy_threads()
     context.stopping.connect(context)
 
 
 @given("an entry with a caller that has sent nothing")
-def step_nothing_said(context):
+def step_nothing_sent(context):
     context.stopping = StoppingEntry(context)
     context.stopping.connect(context)
     wait_for(
@@ -141,7 +142,7 @@
 @when("a caller sends a request, and the entry gets the stop signal")
 def step_stop(context):
     context.stopping.caller.sendall(REQUEST)
-    assert context.stopping.held.wait(WAIT_S)
+    assert context.stopping.paused.wait(WAIT_S)
     context.stopping.stop()
 
 
@@ -151,26 +152,26 @@
 
 
 @then("the entry is still running after it stopped accepting requests")
-def step_stays(context):
-    assert context.stopping.stays(), "it has exited"
+def step_keeps_running(context):
+    assert context.stopping.keeps_running(), "it has exited"
 
 
 @when("its server continues")
-def step_go(context):
-    context.stopping.go.set()
+def step_continue(context):
+    context.stopping.may_continue.set()
 
 
 @then("the caller gets its complete stream, and the entry exits")
-def step_whole_and_ended(context):
+def step_complete_and_exited(context):
     answer = b""
     while not answer.endswith(LAST_CHUNK):
         data = context.stopping.caller.recv(4096)
         assert data, answer
         answer += data
     assert b"\r\n5\r\nwhole\r\n" in answer, answer
-    assert context.stopping.ended.wait(WAIT_S)
+    assert context.stopping.exited.wait(WAIT_S)
 
 
 @then("the entry exits")
-def step_ends(context):
-    assert context.stopping.ended.wait(WAIT_S)
+def step_exits(context):
+    assert context.stopping.exited.wait(WAIT_S)
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -44,19 +44,21 @@
         self.now_s = 0.0
         self.topics: dict[str, list[KeyedRecord]] = {}
         self.expired_before = 0
+        # Names of entries. Store calls of rejected ones fail, those of entries that it
+        # is unresponsive to do so only after a timeout; feeds of hanging ones stop.
         self.rejected: set[str] = set()
         self.disconnected: set[str] = set()
         self.unresponsive_to: set[str] = set()
         self.hanging: set[str] = set()
         self.calls: dict[str, int] = {}
-        self.largest_bytes = 0
+        self.largest_reply_bytes = 0
         self.entries = {}
         self._events: list = []
         self._numbers = itertools.count()
         names = [f"entry-{n}" for n in range(entries)]
         for name in names:
             self.calls[name] = 0
-            self.entries[name] = DrivenEntry(world=self, name=name, feed=feed)
+            self.entries[name] = SimulatedEntry(world=self, name=name, feed=feed)
         for number, name in enumerate(names):
             self.at(number * 0.03, self.entries[name].run)
 
@@ -78,12 +80,12 @@
         data = None if value is None else json.dumps(value).encode()
         records.append(KeyedRecord(key=key, value=data, offset=len(records)))
         for entry in self.entries.values():
-            entry.end_wait()
+            entry.end_long_poll()
 
     def send(self, sender: str, name: str, message) -> None:
         if isinstance(message, RecordsTold):
             size = sum(len(value or b"") for _, value, _ in message.records)
-            self.largest_bytes = max(self.largest_bytes, size)
+            self.largest_reply_bytes = max(self.largest_reply_bytes, size)
         if not {sender, name} & self.disconnected:
             who = InstanceId(name=sender, incarnation="1")
             self.entries[name].relay.handle_message(who, message)
@@ -121,8 +123,11 @@
         )
 
 
-class DrivenEntry:
-    """One entry's feed, run by the simulated clock; long polls end as in the store."""
+class SimulatedEntry:
+    """One entry's feed, run by the simulated clock.
+
+    A long poll ends early when a record is appended.
+    """
 
     def __init__(self, *, world: World, name: str, feed: str):
         self.name = name
@@ -132,7 +137,7 @@
         self._world = world
         self._running = False
         self._run_count = 0
-        self._held = False
+        self._in_long_poll = False
         self.relay = Relay(
             peers=PeerAccess(
                 name=name,
@@ -184,12 +189,13 @@
         self.feed._wake.clear()
         self._run_in(CALL_S)
 
-    def end_wait(self) -> None:
-        """Read again at once if the store holds a read: there is a new record."""
-        if self._held:
+    def end_long_poll(self) -> None:
+        """Read again at once if a long poll is open: there is a new record."""
+        if self._in_long_poll:
             self._run_in(CALL_S)
 
     def _run_in(self, seconds: float) -> None:
+        # A newly scheduled run replaces an earlier one.
         self._run_count += 1
         number = self._run_count
         self._world.at(
@@ -206,7 +212,7 @@
         read = self._world.calls[self.name] > calls
         # The fake responds at once where the store would hold the read.
         held_s = self.feed._long_poll_s() if read else 0.0
-        self._held = held_s > 0.0
+        self._in_long_poll = held_s > 0.0
         if read and self.name in self._world.unresponsive_to:
             self._world.at(self._world.now_s + ANSWER_S, lambda: self._end_run(pause_s))
         else:
@@ -234,7 +240,7 @@
 
 
 @step("the entries follow it for {seconds:d} s")
-def step_pass(context, seconds):
+def step_follow(context, seconds):
     context.world.run(seconds)
 
 
@@ -256,7 +262,7 @@
 
 
 @when("the operator writes version {version:d}, and {seconds:g} s pass")
-def step_version(context, version, seconds):
+def step_write_version(context, version, seconds):
     content = configuration(version)
     context.world.append(CONFIGURATION_TOPIC, "config", content)
     context.world.run(seconds)
@@ -278,25 +284,25 @@
 
 
 @when("the store reads of the first {count:d} entries hang")
-def step_stuck(context, count):
+def step_reads_hang(context, count):
     context.world.hanging = set(list(context.world.entries)[:count])
 
 
-@when("the operator writes a version each {gap_s:g} s from {first:d} to {last:d}")
-def step_succession(context, gap_s, first, last):
-    succession(context, gap_s, first, last)
+@when("the operator writes a version every {gap_s:g} s from {first:d} to {last:d}")
+def step_write_versions(context, gap_s, first, last):
+    write_versions(context, gap_s, first, last)
 
 
 @when(
-    "the operator writes a version with {count:d} routes each {gap_s:g} s "
+    "the operator writes a version with {count:d} routes every {gap_s:g} s "
     "from {first:d} to {last:d}"
 )
-def step_large_succession(context, count, gap_s, first, last):
+def step_write_large_versions(context, count, gap_s, first, last):
     routes = [route(f"r{n}", "idempotent", "desk") for n in range(count)]
-    succession(context, gap_s, first, last, routes)
+    write_versions(context, gap_s, first, last, routes)
 
 
-def succession(context, gap_s, first, last, routes=None) -> None:
+def write_versions(context, gap_s, first, last, routes=None) -> None:
     world = context.world
     context.written_s, context.in_force_s = {}, {}
     for version in range(first, last + 1):
@@ -332,20 +338,20 @@
     "the operator writes version {version:d} with {count:d} routes, "
     "and {seconds:g} s pass"
 )
-def step_large(context, version, count, seconds):
+def step_write_large_version(context, version, count, seconds):
     routes = [route(f"r{n}", "idempotent", "desk") for n in range(count)]
     content = configuration(version, routes=routes)
     context.world.append(CONFIGURATION_TOPIC, "config", content)
     context.world.run(seconds)
 
 
-@then("no entry sent another more than {kilobytes:d} KB")
-def step_largest(context, kilobytes):
-    assert context.world.largest_bytes <= kilobytes * 1024
+@then("no reply held more than {kilobytes:d} KB of values")
+def step_reply_size(context, kilobytes):
+    assert context.world.largest_reply_bytes <= kilobytes * 1024
 
 
 @then("each follower called the store at most {most:d} times")
-def step_asked_calls(context, most):
+def step_follower_calls(context, most):
     calls = context.world.calls
     assert all(calls[f"entry-{n}"] <= most for n in range(2, 6)), calls
 
@@ -356,8 +362,10 @@
         assert entry.in_force.catalog.version == version, entry.name
 
 
-@when("the store rejects the first {count:d} entries for {seconds:d} s")
-def step_turned_away(context, count, seconds):
+@when(
+    "the store rejects the first {count:d} entries from now on, and {seconds:d} s pass"
+)
+def step_reject_first(context, count, seconds):
     world = context.world
     world.rejected = set(list(world.entries)[:count])
     context.stale = set()
@@ -369,13 +377,13 @@
 
 
 @when("the store rejects the last {count:d} entries from now on")
-def step_turned_away_on(context, count):
+def step_reject_last(context, count):
     context.world.rejected = set(list(context.world.entries)[-count:])
 
 
 @when("the store never responds to the last {count:d} entries from now on")
-def step_unanswered(context, count):
-    step_turned_away_on(context, count)
+def step_never_responds(context, count):
+    step_reject_last(context, count)
     context.world.unresponsive_to = context.world.rejected
 
 
@@ -391,7 +399,7 @@
 
 
 @when("a disconnected entry receives a reply {seconds:d} s after its query")
-def step_late_answer(context, seconds):
+def step_late_reply(context, seconds):
     world = context.world
     context.entry = entry = world.entries["entry-5"]
     query = RecordsAsked(
@@ -411,8 +419,8 @@
     assert not context.entry.in_force.is_fresh()
 
 
-@when("an entry with version 2 in force receives a reply from before it")
-def step_older_answer(context):
+@when("an entry with version 2 in force receives an older reply with version 1")
+def step_older_reply(context):
     world = context.world
     entry = context.entry = world.entries["entry-5"]
     old = RecordsTold(
@@ -423,18 +431,18 @@
         whole=True,
         records=(("config", json.dumps(configuration(1)).encode(), 0),),
     )
-    step_version(context, 2, 2.0)
+    step_write_version(context, 2, 2.0)
     entry.relay.handle_message(InstanceId(name="entry-0", incarnation="1"), old)
     context.version_age_s = entry.in_force.age_s()
 
 
 @then("version 2 stays in force at that entry")
-def step_stays(context):
+def step_version_stays(context):
     assert context.entry.in_force.catalog.version == 2
 
 
 @when("upstream a is deleted, and the store expires all records so far")
-def step_dropped_and_forgotten(context):
+def step_deleted_and_expired(context):
     world = context.world
     world.append(UPSTREAMS_TOPIC, "a", None)
     world.expired_before = len(world.topics[UPSTREAMS_TOPIC])
@@ -452,10 +460,10 @@
 
 
 @when(
-    "the store is down for {away:d} s, deletes both, and has them again "
-    "{again:d} s after it recovers"
+    "the store is down for {down_s:d} s, both records expire, and are back "
+    "{register_after_s:d} s after it recovers"
 )
-def step_away(context, away, again):
+def step_store_down(context, down_s, register_after_s):
     world = context.world
     world.rejected = set(world.entries)
     context.known = []
@@ -465,11 +473,11 @@
             world.run(STEP_S)
             context.known += [len(e.upstreams) for e in world.entries.values()]
 
-    run(away)
+    run(down_s)
     for name in ("a", "b"):
         world.append(UPSTREAMS_TOPIC, name, None)
     world.rejected = set()
-    run(again)
+    run(register_after_s)
     for name in ("a", "b"):
         register(world, name)
     run(3.0)
@@ -481,8 +489,8 @@
 
 
 @when("the store rejects one reader, and upstream a is deleted")
-def step_away_and_dropped(context):
-    # A reader; followers wouldn't notice.
+def step_rejected_and_deleted(context):
+    # entry-0 is a reader; a rejected follower would go on with the readers' replies.
     context.world.rejected = {"entry-0"}
     context.world.run(3.0)
     context.world.append(UPSTREAMS_TOPIC, "a", None)
@@ -492,7 +500,7 @@
     "{count:d} other upstreams come and go, and a is deleted, while one entry is "
     "disconnected"
 )
-def step_many_dropped(context, count):
+def step_many_deleted(context, count):
     world = context.world
     world.disconnected = {"entry-5"}
     for number in range(count):
@@ -500,7 +508,7 @@
         world.append(UPSTREAMS_TOPIC, f"other-{number}", None)
     world.append(UPSTREAMS_TOPIC, "a", None)
     world.run(5.0)
-    # It reaches the other entries again, but the store still rejects it.
+    # entry-5 reaches the other entries again, but not the store.
     world.disconnected, world.rejected = set(), {"entry-5"}
 
 
--- a/features/store_relay.feature
+++ b/features/store_relay.feature
@@ -23,15 +23,15 @@
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the store reads of the first 2 entries hang
-    And the operator writes a version each 0.2 s from 2 to 12
+    And the operator writes a version every 0.2 s from 2 to 12
     Then each was in force within 1.7 s at the other 4 entries
 
   Scenario: Versions follow each other quickly while the store rejects one entry
-    It is notified of each version by an entry that has read it, and queries it at once.
+    A reader notifies the rejected entry of each version, which queries it at once.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When the store rejects the first 1 entries for 3 s
-    And the operator writes a version each 0.2 s from 2 to 12
+    When the store rejects the first 1 entries from now on, and 3 s pass
+    And the operator writes a version every 0.2 s from 2 to 12
     Then each was in force within 1.7 s at all 6 entries
 
   Scenario: A new version reaches an entry as soon as another one has read it
@@ -41,20 +41,20 @@
     Then version 2 is in force at all entries
 
   Scenario: A configuration of hundreds of routes
-    Relaying it over a small instance's link would delay all requests of that entry.
+    Relaying it over a small instance's link would delay all requests of that instance.
     Followers are told that it is too large, and read it from the store once each.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the operator writes version 2 with 300 routes, and 1.5 s pass
     Then version 2 is in force at all entries
-    And no entry sent another more than 9 KB
+    And no reply held more than 9 KB of values
     And each follower called the store at most 4 times
 
   Scenario: Large configurations follow each other quickly
     Guards against every entry reading every version because none can be relayed.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When the operator writes a version with 300 routes each 0.1 s from 2 to 61
+    When the operator writes a version with 300 routes every 0.1 s from 2 to 61
     Then each was in force within 1.7 s at all 6 entries
     And each follower called the store at most 20 times
 
@@ -64,7 +64,7 @@
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the store rejects the last 2 entries from now on
-    And the operator writes a version with 300 routes each 0.1 s from 2 to 61
+    And the operator writes a version with 300 routes every 0.1 s from 2 to 61
     Then each was in force within 1.7 s at all 6 entries
     And each follower called the store at most 30 times
 
@@ -74,7 +74,7 @@
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the store never responds to the last 2 entries from now on
-    And the operator writes a version with 300 routes each 0.1 s from 2 to 61
+    And the operator writes a version with 300 routes every 0.1 s from 2 to 61
     Then each was in force within 1.9 s at all 6 entries
 
   Scenario: Store calls are counted by their reason
@@ -82,13 +82,13 @@
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the operator writes version 2 with 300 routes, and 1.5 s pass
-    And the store rejects the first 2 entries for 3 s
+    And the store rejects the first 2 entries from now on, and 3 s pass
     Then each entry counted all its store calls by reason: first, reader, too_large, retry, stale
 
   Scenario: A large configuration at an entry that the store rejects
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When the store rejects the first 1 entries for 1 s
+    When the store rejects the first 1 entries from now on, and 1 s pass
     And the operator writes version 2 with 300 routes, and 3 s pass
     Then version 2 is in force at all entries
 
@@ -97,19 +97,19 @@
     the readers then use replies from the followers. All keep accepting keys.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When the store rejects the first 2 entries for 20 s
+    When the store rejects the first 2 entries from now on, and 20 s pass
     Then all accepted keys throughout
 
   Scenario: The store rejects all entries
     State must not look fresher because entries relay it to each other.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When the store rejects the first 6 entries for 6 s
+    When the store rejects the first 6 entries from now on, and 6 s pass
     Then no entry accepts keys
 
   Scenario: A reply is delayed in the network
-    A network partition holds a reply back for four seconds. When it is delivered, its
-    content is four seconds older than when it was sent.
+    A network partition holds a reply back for five seconds. When it is delivered, its
+    content is five seconds older than when it was sent.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When a disconnected entry receives a reply 5 s after its query
@@ -118,12 +118,12 @@
   Scenario: An entry that is behind can't bring back an older version
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
-    When an entry with version 2 in force receives a reply from before it
+    When an entry with version 2 in force receives an older reply with version 1
     Then version 2 stays in force at that entry
 
   Scenario: An upstream's tombstone expires before it is read
-    The reader finds its offset expired and loads the newest record of each key. No
-    tombstone shows the deletion, so followers get a snapshot instead of changes.
+    The reader finds its offset expired and loads the newest record of each key. As the
+    deletion's tombstone has expired, too, followers get a snapshot instead of changes.
     Given 6 entries before a store with upstreams a and b
     And the entries follow it for 20 s
     When upstream a is deleted, and the store expires all records so far
@@ -134,20 +134,20 @@
     They are alive and register again a second later; callers must not notice.
     Given 6 entries before a store with upstreams a and b
     And the entries follow it for 20 s
-    When the store is down for 4 s, deletes both, and has them again 1 s after it recovers
+    When the store is down for 4 s, both records expire, and are back 1 s after it recovers
     Then all entries knew a and b throughout
 
   Scenario: An upstream leaves while the store rejects an entry
-    The other entries relay the deletion. The store isn't down, so the missing record
-    can't be due to that, and the entry must not send there any more.
+    The other entries relay the deletion. Since the store isn't down, the missing record
+    means that the upstream has left, and the entry must not send there any more.
     Given 6 entries before a store with upstreams a and b
     And the entries follow it for 20 s
     When the store rejects one reader, and upstream a is deleted
     Then within 4 s all entries know only b
 
   Scenario: More keys are deleted than an entry keeps tombstones for
-    A query from before the kept tombstones can't be answered with the deletions. The
-    reply is a snapshot, and the receiver removes all other keys.
+    A query from before the discarded tombstones can't be answered with the deletions.
+    The reply is a snapshot, and the receiver removes all other keys.
     Given 6 entries before a store with upstreams a and b
     And the entries follow it for 20 s
     When 1100 other upstreams come and go, and a is deleted, while one entry is disconnected
--- a/lavenderspoke/direct/catalog.py
+++ b/lavenderspoke/direct/catalog.py
@@ -10,7 +10,7 @@
 
 
 class Repeatability(enum.Enum):
-    """Whether a request may run more than once."""
+    """Whether requests are idempotent; see also `Route.retryable`."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -28,11 +28,11 @@
 class Route:
     """How requests for one host and path prefix are routed, and their time limits.
 
-    `rank` is the priority, 0 highest. `target_s` is the time to the first byte up to
-    which a response has its full value, `timeout_s` the longest that a caller is kept
-    waiting, and `patience_s` how long callers wait for the first byte before they
-    disconnect. A `stream` that is `resumable` counts as idempotent. `attempts_max`
-    bounds the number of upstreams on which one request may run.
+    `rank` is the priority, 0 highest. A response has its full value if its first byte
+    takes at most `target_s`. `timeout_s` is the longest that a caller is kept waiting,
+    and `patience_s` how long callers wait for the first byte before they disconnect. A
+    `stream` that is `resumable` counts as idempotent. `attempts_max` bounds the number
+    of upstreams on which one request may run.
     """
 
     name: str
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -34,8 +34,10 @@
 # balancer checks readiness once a second and redirects callers after two failures. A
 # long request that arrived after three seconds could not finish within the grace time.
 DRAIN_ACCEPT_S = 2.6
-# Margin between the end of the drain and the kill, in seconds.
+# Margin between the end of the drain and the kill, in seconds, for the messages that
+# announce the leaving, and the last log lines.
 STOP_MARGIN_S = 0.9
+# Interval at which the drain checks for requests in flight, in seconds.
 DRAIN_POLL_S = 0.05
 
 log = logbook.Logger(__name__)
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -29,7 +29,10 @@
 
 
 class CallReason(Enum):
-    """Why an entry called the store."""
+    """Why an entry called the store.
+
+    The reasons of reads are chosen by `Feed._read_reason`; OWN_RECORD is a write.
+    """
 
     FIRST = "first"
     OFFSET_EXPIRED = "forgotten"
@@ -183,10 +186,10 @@
         if self._failing:
             # If the store rejects only this entry, a peer's reply arrives while this
             # entry's own read is still waiting for its timeout.
-            self._relay.query_any_peer(self.topic)
+            self._relay.query_random_peer(self.topic)
         if self.poll():
             return self._period_s()
-        self._relay.query_any_peer(self.topic)
+        self._relay.query_random_peer(self.topic)
         return max(RETRY_PAUSE_S, self._period_s())
 
     def _relies_on_peers(self) -> bool:
--- a/lavenderspoke/direct/instances.py
+++ b/lavenderspoke/direct/instances.py
@@ -7,11 +7,11 @@
 class Upstream:
     """One incarnation of an upstream.
 
-    `upstream_id` changes at each start, so that what was observed of one incarnation
-    isn't applied to the next. `name` is the upstream's own name and may stay the same
-    across restarts. `version` is its software version, empty if not given. An upstream
-    is slower until it `is_warm`. It processes up to `slots` requests concurrently. A
-    `leaving` upstream takes no new requests.
+    `upstream_id` changes at each start if the platform states the start time, so that
+    what was observed of one incarnation isn't applied to the next. `name` is the
+    upstream's own name and may stay the same across restarts. `version` is its software
+    version, empty if not given. An upstream is slower until it `is_warm`. It processes
+    up to `slots` requests concurrently. A `leaving` upstream takes no new requests.
     """
 
     upstream_id: str
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -33,7 +33,8 @@
     The link's libraries take a large part of the startup time, and after a failure of
     all entries, callers at the port would also wait until they are loaded. An entry
     without the link keeps to its own share of the limits, so it may serve before the
-    link is loaded. `load` imports and returns it.
+    link is loaded, though nothing ticks its dispatcher until then. `load` imports and
+    returns the link, usually `Gossip`.
     """
 
     def __init__(self, *, load: Callable[[], PeerLink]):
--- a/lavenderspoke/direct/relay.py
+++ b/lavenderspoke/direct/relay.py
@@ -175,7 +175,9 @@
         is_follower = self._peers.name not in self._reader_names()
         if is_follower != self._was_follower:
             self._was_follower = is_follower
-            log.info("store is read", by="other entries" if is_follower else "itself")
+            log.info(
+                "store is now read", by="other entries" if is_follower else "itself"
+            )
         return is_follower
 
     def is_alone(self) -> bool:
@@ -190,6 +192,7 @@
         """
         if self._clock.monotonic_s() < self._last_query_received_s + FOLLOWER_TIMEOUT_S:
             return True
+        # Counting this entry, there are more live entries than readers.
         return (
             len(self._peers.live_peer_names()) >= READER_COUNT
             and not self.is_follower()
@@ -199,7 +202,7 @@
         """Query one of the readers; any reply goes to the topic's feed."""
         self._query(topic, self._reader_names(), in_full=False)
 
-    def query_any_peer(self, topic: str) -> None:
+    def query_random_peer(self, topic: str) -> None:
         """Query a random live peer, since the store may be rejecting the readers."""
         self._query(topic, self._peers.live_peer_names(), in_full=True)
 
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class DirectSettings:
-    """Settings of one entry."""
+    """Settings of one entry; `threads` serve its callers."""
 
     name: str
     data_centre: str
