--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -178,7 +178,7 @@
         self.checks.append((self.now_s, self.not_live()))
 
 
-def begin_request(entry: Entry, number: int = 0) -> None:
+def submit_request(entry: Entry, number: int = 0) -> None:
     now_s = entry.dispatcher._now_s()
     ticket = Ticket(
         request_id=f"r{number}",
@@ -200,7 +200,7 @@
 def known_within_s(fleet: Fleet) -> float:
     """Start a request at the first entry; return the time until all know of it."""
     first, *others = fleet.entries.values()
-    begin_request(first)
+    submit_request(first)
     started_s = fleet.now_s
     queues = {e.me.name: e.dispatcher._scheduler.queue(SERVICE) for e in others}
     while any(queues[e.me.name].pool.peer_requests() == 0 for e in others):
--- a/features/steps/direct_spreading_steps.py
+++ b/features/steps/direct_spreading_steps.py
@@ -9,8 +9,8 @@
     UPSTREAM,
     Entry,
     Fleet,
-    begin_request,
     known_within_s,
+    submit_request,
 )
 from features.steps.direct_handling_steps import accepted_request
 from lavenderspoke.clock import ManualClock
@@ -30,17 +30,24 @@
     context.fleets = [context.fleet]
 
 
-@given("{few:d} entries in {first:d} data centres, and {many:d} in {second:d}")
-def step_fleets(context, few, first, many, second):
+@given(
+    "{few:d} entries in {few_centres:d} data centres, and {many:d} in {many_centres:d}"
+)
+def step_fleets(context, few, few_centres, many, many_centres):
     context.fleets = [
-        Fleet(entries=few, data_centres=first),
-        Fleet(entries=many, data_centres=second),
+        Fleet(entries=few, data_centres=few_centres),
+        Fleet(entries=many, data_centres=many_centres),
     ]
 
 
-@given("{entries:d} entries in {data_centres:d} data centres that start within {s:g} s")
-def step_start(context, entries, data_centres, s):
-    context.fleet = Fleet(entries=entries, data_centres=data_centres, start_within_s=s)
+@given(
+    "{entries:d} entries in {data_centres:d} data centres that start within "
+    "{within_s:g} s"
+)
+def step_start(context, entries, data_centres, within_s):
+    context.fleet = Fleet(
+        entries=entries, data_centres=data_centres, start_within_s=within_s
+    )
     context.fleets = [context.fleet]
 
 
@@ -59,7 +66,7 @@
         fleet.sent.clear()
         for number in range(round(busy_s / TICK_S)):
             for entry in fleet.entries.values():
-                begin_request(entry, number)
+                submit_request(entry, number)
             fleet.run(TICK_S)
 
 
@@ -152,7 +159,7 @@
     """Submit a request at each entry; return the entries that got a slot for it."""
     sending = set()
     for name, entry in context.fleet.entries.items():
-        begin_request(entry, 1)
+        submit_request(entry, 1)
         if entry.dispatcher._scheduler.queue(SERVICE).pool.own_loads():
             sending.add(name)
     return sending
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -28,7 +28,7 @@
 from lavenderspoke.platform import early
 from standins.processes import HOST, free_port
 
-ANSWER_WAIT_S = 5.0
+WAIT_S = 5.0
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 # Prints the number of garbage collections during the load, whether collection is
 # enabled afterwards, and whether the loaded objects are frozen.
@@ -64,7 +64,7 @@
         self._running = False
 
     def load(self) -> "FakeLink":
-        assert self.may_load.wait(ANSWER_WAIT_S)
+        assert self.may_load.wait(WAIT_S)
         return self
 
     def start(self) -> None:
@@ -104,7 +104,7 @@
 @when("the link has been loaded")
 def step_link_loaded(context):
     context.link.may_load.set()
-    context.part.wait_started(ANSWER_WAIT_S)
+    context.part.wait_started(WAIT_S)
 
 
 @when("its part is stopped, and the link has been loaded")
@@ -137,7 +137,7 @@
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
-    context.part.wait_started(ANSWER_WAIT_S)
+    context.part.wait_started(WAIT_S)
     assert context.part.alive() and context.link.starts == 1
 
 
@@ -178,7 +178,7 @@
     assert context.listener is not None
 
 
-def answer_hello(environ, start_response):
+def respond_hello(environ, start_response):
     start_response("200 OK", [("Content-Length", "5")])
     return [b"hello"]
 
@@ -187,30 +187,30 @@
     "a caller sends a request, and a server takes over the socket {seconds:g} s later"
 )
 def step_take_over(context, seconds):
-    caller = socket.create_connection((HOST, context.port), timeout=ANSWER_WAIT_S)
+    caller = socket.create_connection((HOST, context.port), timeout=WAIT_S)
     context.add_cleanup(caller.close)
     caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     time.sleep(seconds)
     server = HttpServer(
         host=HOST,
         port=context.port,
-        app=answer_hello,
+        app=respond_hello,
         threads=2,
         listener=context.listener,
     )
     server.prepare()
     context.add_cleanup(server.stop)
     threading.Thread(target=server.serve, daemon=True).start()
-    context.answer = b""
-    while not context.answer.endswith(b"hello"):
+    context.response = b""
+    while not context.response.endswith(b"hello"):
         data = caller.recv(4096)
-        assert data, context.answer
-        context.answer += data
+        assert data, context.response
+        context.response += data
 
 
 @then("the caller gets its response")
 def step_got(context):
-    assert context.answer.startswith(b"HTTP/1.1 200 OK"), context.answer
+    assert context.response.startswith(b"HTTP/1.1 200 OK"), context.response
 
 
 @then("no socket is opened")
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -30,14 +30,17 @@
 from lavenderspoke.platform.store import ANSWER_S
 from standins.platformdeployment import configuration, route
 
+# As in an entry with the default bounds, in seconds.
 KEY_AGE_MAX_S = 4.6
 DRAIN_S = 2.0
 APPLY_S = 2.0
+# Duration of a store call, in seconds.
 CALL_S = 0.01
+# Interval at which the entries' state is sampled, in seconds.
 STEP_S = 0.05
 
 
-class World:
+class Simulation:
     """Entries and a fake store on a simulated clock."""
 
     def __init__(self, *, entries: int, feed: str):
@@ -95,7 +98,7 @@
 class FakeStore:
     """The store as one entry sees it."""
 
-    def __init__(self, *, world: World, name: str):
+    def __init__(self, *, world: Simulation, name: str):
         self._world = world
         self._name = name
 
@@ -129,7 +132,7 @@
     A long poll ends early when a record is appended.
     """
 
-    def __init__(self, *, world: World, name: str, feed: str):
+    def __init__(self, *, world: Simulation, name: str, feed: str):
         self.name = name
         self.upstreams: tuple = ()
         self.in_force = CatalogInForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
@@ -228,13 +231,13 @@
 
 @given("{count:d} entries before a store with a configuration")
 def step_configured(context, count):
-    context.world = World(entries=count, feed="configuration")
+    context.world = Simulation(entries=count, feed="configuration")
     context.world.append(CONFIGURATION_TOPIC, "config", configuration(1))
 
 
 @given("{count:d} entries before a store with upstreams a and b")
 def step_upstreams(context, count):
-    context.world = World(entries=count, feed="upstreams")
+    context.world = Simulation(entries=count, feed="upstreams")
     for name in ("a", "b"):
         register(context.world, name)
 
@@ -310,6 +313,7 @@
             world.now_s + (version - first) * gap_s,
             lambda version=version: write_version(context, version, routes),
         )
+    # Goes on after the last version for longer than the scenarios' limits.
     for _ in range(round(((last - first) * gap_s + 3.0) / STEP_S)):
         world.run(STEP_S)
         for name, entry in world.entries.items():
@@ -448,7 +452,7 @@
     world.expired_before = len(world.topics[UPSTREAMS_TOPIC])
 
 
-def register(world: World, name: str) -> None:
+def register(world: Simulation, name: str) -> None:
     record = {
         "service": "s",
         "address": "127.0.0.1:1",
--- a/features/store_relay.feature
+++ b/features/store_relay.feature
@@ -17,9 +17,9 @@
     Then version 2 is in force at all entries
 
   Scenario: The store reads of both readers hang
-    Two seconds after a key was revoked, requests with it must not run. The readers keep
-    replying to queries while their own reads hang, so their replies are valid but old.
-    The followers must stop relying on them in time.
+    A configuration that revokes a key must be in force two seconds after it was written.
+    The readers keep replying to queries while their own reads hang, so their replies are
+    valid but old. The followers must stop relying on them in time.
     Given 6 entries before a store with a configuration
     And the entries follow it for 20 s
     When the store reads of the first 2 entries hang
--- a/lavenderspoke/direct/peerlink.py
+++ b/lavenderspoke/direct/peerlink.py
@@ -30,8 +30,8 @@
 class PeerLinkLoader:
     """Loads the link to the other entries in the background, and runs it.
 
-    The link's libraries take a large part of the startup time, and after a failure of
-    all entries, callers at the port would also wait until they are loaded. An entry
+    The link's libraries take a sixth of the startup time, and after a failure of all
+    entries, callers at the port would also wait until they are loaded. An entry
     without the link keeps to its own share of the limits, so it may serve before the
     link is loaded, though nothing ticks its dispatcher until then. `load` imports and
     returns the link, usually `Gossip`.
