--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -28,7 +28,7 @@
 from lavenderspoke.platform import early
 from standins.processes import HOST, free_port
 
-ANSWER_WAIT_S = 5.0
+WAIT_S = 5.0
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 # Prints the number of garbage collections during the load, whether collection is
 # enabled afterwards, and whether the loaded objects are frozen.
@@ -50,18 +50,21 @@
     return str(path)
 
 
-class SlowLink:
-    """A link that loads once `go` is set, and records calls."""
+class FakeLink:
+    """A link that loads once `may_load` is set, and records calls.
+
+    Its first `failures` starts fail.
+    """
 
     def __init__(self, *, failures: int = 0):
-        self.go = threading.Event()
+        self.may_load = threading.Event()
         self.starts = 0
         self.sent_to: list[str] = []
         self._failures = failures
         self._running = False
 
-    def load(self) -> "SlowLink":
-        assert self.go.wait(ANSWER_WAIT_S)
+    def load(self) -> "FakeLink":
+        assert self.may_load.wait(WAIT_S)
         return self
 
     def start(self) -> None:
@@ -83,13 +86,13 @@
 
 @given("a link to the other entries that takes a while to load")
 def step_slow_link(context):
-    context.link = SlowLink()
+    context.link = FakeLink()
     context.part = PeerLinkLoader(load=context.link.load)
 
 
 @given("a link to the other entries that fails at first")
 def step_failing_link(context):
-    context.link = SlowLink(failures=1)
+    context.link = FakeLink(failures=1)
     context.part = PeerLinkLoader(load=context.link.load)
 
 
@@ -100,8 +103,8 @@
 
 @when("the link has been loaded")
 def step_link_loaded(context):
-    context.link.go.set()
-    context.part.wait_loaded(ANSWER_WAIT_S)
+    context.link.may_load.set()
+    context.part.wait_started(WAIT_S)
 
 
 @when("its part is stopped, and the link has been loaded")
@@ -130,15 +133,15 @@
     assert context.link.starts == 0 and not context.part.alive()
 
 
-@then("the part is dead, and alive after it is started again")
+@then("the part isn't alive until it is started again")
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
-    context.part.wait_loaded(ANSWER_WAIT_S)
+    context.part.wait_started(WAIT_S)
     assert context.part.alive() and context.link.starts == 1
 
 
-@when("the daemon is loaded without the machine's packages")
+@when("the daemon is loaded without a search of site-packages (-S)")
 def step_load(context):
     libraries = sysconfig.get_path("platlib")
     done = subprocess.run(
@@ -153,7 +156,9 @@
     context.loaded = done.stdout.split()
 
 
-@then("no garbage collection ran during the load, and it is enabled afterwards")
+@then(
+    "no garbage collection ran during the load, and later ones skip the loaded objects"
+)
 def step_garbage(context):
     assert context.loaded == ["0", "True", "True"], context.loaded
 
@@ -173,7 +178,7 @@
     assert context.listener is not None
 
 
-def answer_hello(environ, start_response):
+def respond_hello(environ, start_response):
     start_response("200 OK", [("Content-Length", "5")])
     return [b"hello"]
 
@@ -182,33 +187,33 @@
     "a caller sends a request, and a server takes over the socket {seconds:g} s later"
 )
 def step_take_over(context, seconds):
-    caller = socket.create_connection((HOST, context.port), timeout=ANSWER_WAIT_S)
+    caller = socket.create_connection((HOST, context.port), timeout=WAIT_S)
     context.add_cleanup(caller.close)
     caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     time.sleep(seconds)
     server = HttpServer(
         host=HOST,
         port=context.port,
-        app=answer_hello,
+        app=respond_hello,
         threads=2,
         listener=context.listener,
     )
     server.prepare()
     context.add_cleanup(server.stop)
     threading.Thread(target=server.serve, daemon=True).start()
-    context.answer = b""
-    while not context.answer.endswith(b"hello"):
+    context.response = b""
+    while not context.response.endswith(b"hello"):
         data = caller.recv(4096)
-        assert data, context.answer
-        context.answer += data
+        assert data, context.response
+        context.response += data
 
 
 @then("the caller gets its response")
 def step_got(context):
-    assert context.answer.startswith(b"HTTP/1.1 200 OK"), context.answer
+    assert context.response.startswith(b"HTTP/1.1 200 OK"), context.response
 
 
-@then("no socket is opened, and the daemon reports the error")
+@then("no socket is opened")
 def step_unreadable(context):
     assert early.listen("/nonexistent") is None
     for text in ("", "listen.frontend=here\n", f"listen.frontend={HOST}:x\n"):
@@ -226,45 +231,45 @@
 @given("an entry that has just started")
 def step_started(context):
     context.clock = StepClock()
-    context.known_from_s = float("inf")
-    context.opening = StartupHold(
-        is_ready=lambda: context.clock.monotonic_s() >= context.known_from_s,
+    context.complete_from_s = float("inf")
+    context.startup_hold = StartupHold(
+        is_ready=lambda: context.clock.monotonic_s() >= context.complete_from_s,
         clock=context.clock,
     )
 
 
-def held_s(context) -> float:
+def measure_hold_s(context) -> float:
     before_s = context.clock.monotonic_s()
-    context.opening.wait()
+    context.startup_hold.wait()
     return context.clock.monotonic_s() - before_s
 
 
 @then("it isn't ready until its initial state is complete or {seconds:g} s have passed")
-def step_is_over(context, seconds):
-    assert not context.opening.is_over()
-    context.known_from_s = context.clock.monotonic_s()
-    assert context.opening.is_over()
-    context.known_from_s = float("inf")
-    assert not context.opening.is_over()
+def step_not_ready_before(context, seconds):
+    assert not context.startup_hold.is_over()
+    context.complete_from_s = context.clock.monotonic_s()
+    assert context.startup_hold.is_over()
+    context.complete_from_s = float("inf")
+    assert not context.startup_hold.is_over()
     context.clock.advance(seconds)
-    assert context.opening.is_over()
+    assert context.startup_hold.is_over()
 
 
 @when("a request arrives and the entry's initial state is complete {seconds:g} s later")
-def step_knows(context, seconds):
-    context.known_from_s = context.clock.monotonic_s() + seconds
-    context.held_s = held_s(context)
+def step_complete_later(context, seconds):
+    context.complete_from_s = context.clock.monotonic_s() + seconds
+    context.held_s = measure_hold_s(context)
 
 
 @when("a request arrives and the entry's initial state is never complete")
-def step_never(context):
-    context.held_s = held_s(context)
+def step_never_complete(context):
+    context.held_s = measure_hold_s(context)
 
 
 @then("the request was held for {seconds:g} s, and the next one isn't held")
 def step_held(context, seconds):
     assert abs(context.held_s - seconds) < 0.02, context.held_s
-    assert held_s(context) < 0.02
+    assert measure_hold_s(context) < 0.02
 
 
 @given(
@@ -305,7 +310,7 @@
 
 
 def exchange_states(context) -> None:
-    """Deliver each entry's state without spent tokens to all others."""
+    """Let each entry receive a state without usage from every other, and tick."""
     context.number = getattr(context, "number", 0) + 1
     for name, dispatcher in context.dispatchers.items():
         for peer in context.dispatchers:
@@ -322,7 +327,7 @@
 
 
 @when("{count:d} requests of {cost:d} tokens arrive at each entry at the same time")
-def step_instant(context, count, cost):
+def step_requests_arrive(context, count, cost):
     context.passed = sum(
         cost
         for dispatcher in context.dispatchers.values()
@@ -336,8 +341,8 @@
     assert least <= context.passed <= most, context.passed
 
 
-@then("after {seconds:g} s a single entry may admit a full bucket")
-def step_alone(context, seconds):
+@then("after {seconds:g} s a single entry may admit at least 500 tokens")
+def step_admits(context, seconds):
     context.clock.advance(seconds)
     exchange_states(context)
     dispatcher = context.dispatchers["entry-0"]
--- a/lavenderspoke/direct/catalog.py
+++ b/lavenderspoke/direct/catalog.py
@@ -10,7 +10,7 @@
 
 
 class Repeatability(enum.Enum):
-    """Whether a request may run more than once."""
+    """Whether requests are idempotent; see also `Route.retryable`."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -28,11 +28,11 @@
 class Route:
     """How requests for one host and path prefix are routed, and their time limits.
 
-    `rank` is the priority, 0 highest. `target_s` is the time to the first byte up to
-    which a response has its full value, `timeout_s` the longest that a caller is kept
-    waiting, and `patience_s` how long callers wait for the first byte before they
-    disconnect. A `stream` that is `resumable` counts as idempotent. `attempts_max`
-    bounds the number of upstreams on which one request may run.
+    `rank` is the priority, 0 highest. A response has its full value if its first byte
+    takes at most `target_s`. `timeout_s` is the longest that a caller is kept waiting,
+    and `patience_s` how long callers wait for the first byte before they disconnect. A
+    `stream` that is `resumable` counts as idempotent. `attempts_max` bounds the number
+    of upstreams on which one request may run.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A pool of equivalent upstreams; `connections_max` applies to each of them."""
+    """Upstreams that serve the same requests; `connections_max` is per upstream."""
 
     name: str
     connections_max: int
@@ -68,7 +68,11 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Limits on the size and timing of callers' requests."""
+    """Limits on the size and timing of callers' requests.
+
+    `read_timeout_s` bounds the arrival of the headers, `idle_timeout_s` is how long an
+    idle connection is kept.
+    """
 
     header_bytes_max: int = 16 * 1024
     body_bytes_max: int = 4 * 1024 * 1024
@@ -124,7 +128,7 @@
 
     @property
     def needs_key(self) -> bool:
-        """Whether requests need an API key, because there are customers."""
+        """Whether requests need an API key, except on anonymous routes."""
         return bool(self.customers)
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -133,12 +137,12 @@
         Prefixes end in a slash, so only the slashes in the path are tried and the cost
         doesn't grow with the number of routes.
         """
-        prefixes = self._by_host.get(host.lower())
-        if prefixes is None:
+        routes_by_prefix = self._by_host.get(host.lower())
+        if routes_by_prefix is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = prefixes.get(path[: end + 1])
+            route = routes_by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
         return None
@@ -146,8 +150,8 @@
     def rank_of(self, customer: Customer | None) -> int:
         """Return a customer's rank, or the rank of a request without a customer.
 
-        Unauthenticated requests get the lowest customer rank. At the highest, a few of
-        them would delay the customers' own most urgent requests.
+        Unauthenticated requests get the lowest customer rank. With the highest, a few
+        of them would delay the customers' own most urgent requests.
         """
         if customer is not None:
             return customer.rank
--- a/lavenderspoke/direct/settings.py
+++ b/lavenderspoke/direct/settings.py
@@ -7,7 +7,7 @@
 
 # Share of the platform's retry budget that entries use. The platform counts retries in
 # a sliding window, within which entries can spend both a full balance and the retries
-# added to it meanwhile.
+# added to it meanwhile, so the share is below one half.
 RETRY_BUDGET_SHARE = 0.45
 # Time allowed between the freshness check of a key and the dispatch, in seconds.
 KEY_MARGIN_S = 0.4
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """A listen address."""
+    """Host and port of a TCP endpoint."""
 
     host: str
     port: int
@@ -28,11 +28,11 @@
     - `grace_s`: time between the stop signal and the kill.
     - `revoke_s`: how long a key may still work after it was revoked.
     - `retry_ratio`, `retry_slack`: limit on retries in any `retry_window_s`, over all
-      entries.
+      entries: a ratio to first attempts, plus a fixed number.
     - `quota_tolerance`: how far a customer may exceed its limit, counted in any
       `quota_window_s`.
-    - `drain_s`: time in which an upstream gets its last request after it announces that
-      it is leaving.
+    - `drain_s`: how long requests may be sent to an upstream after it announces that it
+      is leaving.
     - `apply_s`: time until a configuration is in force after the store accepted it.
     - `rollout`: limits on the requests sent to a bad version.
     """
@@ -51,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class DirectSettings:
-    """Settings of one entry."""
+    """Settings of one entry; `threads` serve its callers."""
 
     name: str
     data_centre: str
