--- a/features/affinity.feature
+++ b/features/affinity.feature
@@ -45,7 +45,7 @@
 
   Scenario: A gap in the events discards the upstream's entries
     The lost event may have been a removal. Requests would then wait for an
-    upstream whose cache is cold, so only later events count.
+    upstream whose cache is cold, so only this and later events count.
     Given a prefix index of 100 entries
     When event 0 of incarnation 1 of "a" adds blocks 1
     And event 2 of incarnation 1 of "a" adds blocks 5
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -9,7 +9,7 @@
 from lavenderspoke.waiting import WaitingQueue, cost_tokens
 
 
-def start(context, **limits):
+def make_admission(context, **limits):
     service = make_service(**limits)
     context.queue = WaitingQueue(service=service)
     context.admission = Admission(service=service, random=Random(1))
@@ -18,8 +18,8 @@
 
 @given("admission control with {count:d} waiting {tier}s of {tokens:d} tokens")
 def step_admission(context, count, tier, tokens):
-    start(context)
-    wait(context, count, tier=tier, tokens=tokens)
+    make_admission(context)
+    add_waiting(context, count, tier=tier, tokens=tokens)
 
 
 @given(
@@ -27,15 +27,15 @@
     " with a burst of {burst:d}"
 )
 def step_admission_rate(context, rate, burst):
-    start(context, requests_per_s=rate, burst=burst)
+    make_admission(context, requests_per_s=rate, burst=burst)
 
 
 @given("admission control where customers may have {count:d} waiting")
 def step_admission_waiting(context, count):
-    start(context, waiting_max=count)
+    make_admission(context, waiting_max=count)
 
 
-def wait(context, count, **call):
+def add_waiting(context, count, **call):
     number = len(context.queue)
     for each in range(number, number + count):
         context.queue.add(make_waiting(f"w{each}", **call), 0.0)
@@ -43,7 +43,7 @@
 
 @when("{count:d} positions of {tokens:d} tokens wait")
 def step_wait(context, count, tokens):
-    wait(context, count, tokens=tokens)
+    add_waiting(context, count, tokens=tokens)
 
 
 @when("{count:d} positions of {tokens:d} tokens are granted at {rate:g} per second")
@@ -56,13 +56,13 @@
         )
 
 
-@when("{seconds:g} s pass without a request")
-def step_pass(context, seconds):
+@when("a position is granted at {seconds:g} s with none waiting before")
+def step_granted_late(context, seconds):
     context.drain.record_grant(TIERS["position"], 100, seconds, context.queue.counts())
 
 
-def admit(context, left_s, now_s):
-    context.problem = context.admission.admit(
+def find_problem(context, left_s, now_s):
+    context.problem = context.admission.find_problem(
         make_call("new"), left_s, now_s, context.queue, context.drain
     )
     return context.problem
@@ -70,14 +70,14 @@
 
 @then("a position with {left:g} s to its deadline is admitted at {now:g} s")
 def step_admitted(context, left, now):
-    assert admit(context, left, now) is None, context.problem
+    assert find_problem(context, left, now) is None, context.problem
 
 
 @then(
     'a position with {left:g} s to its deadline is refused as "{reason}" at {now:g} s'
 )
 def step_refused(context, left, reason, now):
-    problem = admit(context, left, now)
+    problem = find_problem(context, left, now)
     assert problem is not None and problem.reason.value == reason, problem
     assert problem.ran is Ran.NO
 
@@ -85,11 +85,11 @@
 @then('{count:d} positions are admitted at {now:g} s, the next refused as "{reason}"')
 def step_burst(context, count, now, reason):
     for _ in range(count):
-        assert admit(context, 9.0, now) is None
+        assert find_problem(context, 9.0, now) is None
     step_refused(context, 9.0, reason, now)
 
 
-@then("it may be retried after {low:g} s to {high:g} s")
+@then("the retry delay is between {low:g} s and {high:g} s")
 def step_retry_after(context, low, high):
     assert low <= context.problem.retry_after_s <= high, context.problem
 
--- a/features/steps/affinity_steps.py
+++ b/features/steps/affinity_steps.py
@@ -13,7 +13,7 @@
 from lavenderspoke.prefix import prefix_hashes
 
 
-def hashes(blocks):
+def block_names(blocks):
     return tuple(blocks.split(", "))
 
 
@@ -52,26 +52,26 @@
 
 @when('"{upstream}" caches blocks {blocks}')
 def step_caches(context, upstream, blocks):
-    context.index.add(upstream, hashes(blocks))
+    context.index.add(upstream, block_names(blocks))
 
 
 @when('"{upstream}" evicts blocks {blocks}')
 def step_evicts(context, upstream, blocks):
-    context.index.remove(upstream, hashes(blocks))
+    context.index.remove(upstream, block_names(blocks))
 
 
 @when(
     'event {sequence:d} of incarnation {incarnation} of "{upstream}"'
     " adds blocks {blocks}"
 )
-def step_event(context, sequence, incarnation, upstream, blocks):
-    message = PrefixHeld(service="s", sequence=sequence, added=hashes(blocks))
+def step_event(context, incarnation, upstream, sequence, blocks):
+    message = PrefixHeld(service="s", sequence=sequence, added=block_names(blocks))
     sender = InstanceId(name=f"agent-{upstream}", incarnation=incarnation)
     context.index.apply_event(sender, message, upstream=upstream)
 
 
 def lookup(context, blocks):
-    return context.index.lookup(hashes(blocks), 4)
+    return context.index.lookup(block_names(blocks), 4)
 
 
 @then("blocks {blocks} are cached at {expected}")
@@ -102,7 +102,7 @@
 def step_answers(context, blocks):
     context.answers += 1
     call = make_call(f"r{context.answers}")
-    call = attrs.evolve(call, prefix_hashes=hashes(blocks))
+    call = attrs.evolve(call, prefix_hashes=block_names(blocks))
     demand = messages.Demand(service=call.service, waiting={call.tier: 1})
     pull = context.trace.hear(demand)[-1]
     grant = messages.Grant(nonce=pull.nonce, call=call, stamp=1, deadline_in_s=9.0)
@@ -113,11 +113,11 @@
 
 @when("its engine evicts blocks {blocks}")
 def step_engine_evicts(context, blocks):
-    context.trace.feed(CacheChanged(removed=hashes(blocks)))
+    context.trace.feed(CacheChanged(removed=block_names(blocks)))
 
 
 @then("the agent reported blocks {blocks}")
 def step_reported(context, blocks):
     reported = [send.message.added for send in context.trace.sent(PrefixHeld)]
-    expected = [hashes(each) for each in blocks.split(" and then ")]
+    expected = [block_names(each) for each in blocks.split(" and then ")]
     assert [added for added in reported if added] == expected, reported
--- a/features/steps/shedding_steps.py
+++ b/features/steps/shedding_steps.py
@@ -58,13 +58,13 @@
     request_floor(context, TIERS[what.split()[1]], now)
 
 
-@when("its announcement is lost")
+@when("its floor is lost")
 def step_lost(context):
     context.sends = []
 
 
-@when('its announcement reaches "{name}" at {now:g} s')
-def step_reaches(context, name, now):
+@when('"{name}" receives the floor and acknowledges it at {now:g} s')
+def step_acknowledges(context, name, now):
     for send in context.sends:
         if send.recipient == context.ids[name]:
             deliver(context, send, now)
--- a/features/steps/tiers_steps.py
+++ b/features/steps/tiers_steps.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define(kw_only=True)
-class Timed:
+class SentRequest:
     """One request of a tier, with when it was sent and when its answer ended."""
 
     tier: str
@@ -52,7 +52,7 @@
 
 def send(context, tier: str, entry: str) -> None:
     label = f"{tier} {len(context.timed)}"
-    timed = context.timed[label] = Timed(tier=tier, sent_s=time.monotonic())
+    timed = context.timed[label] = SentRequest(tier=tier, sent_s=time.monotonic())
 
     def complete() -> Sent:
         try:
@@ -78,14 +78,18 @@
     for _ in range(count):
         send(context, tier, entry)
     wait_until(
-        lambda: count_of(context, entry, "waiting", tier) == count, WAIT_S, "they wait"
+        lambda: count_of(context, entry, "waiting", tier) == count,
+        WAIT_S,
+        "the requests wait",
     )
 
 
 @when("1 {tier} is sent through {entry} and runs")
 def step_send_and_run(context, tier, entry):
     send(context, tier, entry)
-    wait_until(lambda: count_of(context, entry, "running", tier), WAIT_S, "it runs")
+    wait_until(
+        lambda: count_of(context, entry, "running", tier), WAIT_S, "the request runs"
+    )
 
 
 @when("{count:d} {tier}s are sent through {entry}")
@@ -101,7 +105,7 @@
             send(context, tier, f"entry-{number % 2 + 1}")
 
 
-def shed(context, tier: str) -> list[str]:
+def shed_labels(context, tier: str) -> list[str]:
     return [
         label
         for label, sent in context.sending.results.items()
@@ -120,16 +124,16 @@
 
 @then("some alerts are shed")
 def step_some_shed(context):
-    wait_until(lambda: shed(context, "alert"), WAIT_S, "an alert is shed")
+    wait_until(lambda: shed_labels(context, "alert"), WAIT_S, "an alert is shed")
 
 
 @then("some alerts and all waiting reports were shed")
 def step_which_shed(context):
-    assert shed(context, "alert")
+    assert shed_labels(context, "alert")
     reports = [
         label for label, timed in context.timed.items() if timed.tier == "report"
     ]
-    assert sorted(shed(context, "report")) == sorted(reports)
+    assert sorted(shed_labels(context, "report")) == sorted(reports)
 
 
 @then("every {tier} was answered completely")
@@ -140,7 +144,7 @@
 
 @then("some {tier}s were shed")
 def step_tier_shed(context, tier):
-    assert shed(context, tier)
+    assert shed_labels(context, tier)
 
 
 def answered(context, label: str) -> bool:
@@ -149,7 +153,7 @@
 
 
 def kept_below(context, label: str) -> list[str]:
-    """Return the lower requests that were kept, and later served, when one was shed.
+    """Return lower-tier requests that were kept, and later served, when it was shed.
 
     One of them may already have been running in the engine's only slot, and a shed
     request's answer ends a moment after it is dropped.
@@ -164,19 +168,19 @@
     ]
 
 
-@then("no report was kept when an alert was shed")
+@then("at most the running report was kept when an alert was shed")
 @then("no request was kept when a higher one was shed")
 def step_order_of_tiers(context):
     for tier in TIERS:
-        for label in shed(context, tier):
+        for label in shed_labels(context, tier):
             kept = kept_below(context, label)
             assert len(kept) <= 1, f"{label} was shed while {kept} were kept"
 
 
-@then("every shed caller got a Retry-After")
+@then("the caller of every shed request got a Retry-After")
 def step_retry_after(context):
     for tier in TIERS:
-        for label in shed(context, tier):
+        for label in shed_labels(context, tier):
             sent = context.sending.results[label]
             assert int(sent.headers["Retry-After"]) > 0, sent
             assert sent.problem["ran"] == "no", sent
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -41,7 +41,7 @@
 
 
 def add_many(context, customer, count, **waiting):
-    start = len(context.queue) + 1000 * context.queue.customer_count(customer)
+    start = len(context.queue) + 1000 * context.queue.count_of_customer(customer)
     for number in range(start, start + count):
         name = f"{customer}-{number:05}"
         context.queue.add(make_waiting(name, customer=customer, **waiting), 0.0)
@@ -117,15 +117,12 @@
             return
 
 
-@when(
-    "a request of {tokens:d} tokens arrives every {interval:g} s"
-    " and one is taken every 0.1 s"
-)
+@when("a request of {tokens:d} tokens arrives and one is taken every {interval:g} s")
 def step_short_arrive(context, tokens, interval):
     add_and_take(context, interval_s=interval, tokens=tokens, warm={})
 
 
-@when("a warm request arrives every {interval:g} s and one is taken every 0.05 s")
+@when("a warm request arrives and one is taken every {interval:g} s")
 def step_warm_arrive(context, interval):
     add_and_take(context, interval_s=interval, tokens=100, warm={"a": 90})
 
@@ -157,7 +154,9 @@
         assert context.queue.take(now, upstream=upstream) is None
 
 
-@then("the queue counts {low:d}, {middle:d}, {high:d} and holds {size:d} bytes")
+@then(
+    "{low:d} report, {middle:d} position and {high:d} alert wait, with {size:d} bytes"
+)
 def step_counts(context, low, middle, high, size):
     counts = context.queue.counts()
     assert [counts.get(rank, 0) for rank in (1, 2, 3)] == [low, middle, high], counts
@@ -174,13 +173,13 @@
     context.queue.drop_below(TIERS["alert"])
 
 
-@then('the victim for an alert is the last request from "{customer}"')
+@then('to make room for an alert, the last request from "{customer}" is shed first')
 def step_victim(context, customer):
     victim = context.queue.lowest_victim(TIERS["alert"])
     assert victim.call.request_id == context.last[customer]
 
 
-@then("there is no victim for a position request")
+@then("nothing is shed to make room for a position")
 def step_no_victim(context):
     assert context.queue.lowest_victim(TIERS["position"]) is None
 
@@ -192,7 +191,7 @@
 
 
 def run_operation(queue, waiting, random, now_s, number):
-    """Run one random operation; return whether a take was from the highest tier."""
+    """Run one random operation; return False if it took from a lower tier."""
     choice = random.random()
     if choice < 0.5:
         request = make_waiting(
@@ -238,6 +237,6 @@
         context.matched &= context.queue.backlog_tokens(0) == cost
 
 
-@then("every take was from the highest tier and the counters always matched")
+@then("every take was from the highest tier, and counts and costs stayed right")
 def step_matched(context):
     assert context.matched
--- a/features/waiting.feature
+++ b/features/waiting.feature
@@ -26,13 +26,13 @@
     And 20 requests are taken
     Then 10 of them are from "large" and 10 from "small"
 
-  Scenario: A request a hundred times longer neither delays short ones nor starves
+  Scenario: A request a hundred times longer is overtaken for a bounded time
     A long request waits while short ones of its customer keep arriving. They
-    overtake it only if they arrive within the ageing time of its size, so it is
-    served before its deadline.
+    overtake it only if they arrive within about 10 s of it (20000 tokens at 2000
+    per second), so it doesn't starve.
     Given a queue
     And a request of 20000 tokens waits at 0 s until 60 s
-    When a request of 200 tokens arrives every 0.1 s and one is taken every 0.1 s
+    When a request of 200 tokens arrives and one is taken every 0.1 s
     Then the long one is taken after 8 s and before 15 s
 
   Scenario: A request whose grant was refused regains its position
@@ -75,7 +75,7 @@
   Scenario: A stream of warm requests doesn't starve a cold one
     Given a queue
     And a cold request waits at 0 s
-    When a warm request arrives every 0.05 s and one is taken every 0.05 s
+    When a warm request arrives and one is taken every 0.05 s
     Then the cold one is taken before 5.1 s
 
   Scenario: Warm requests don't overtake one with a near deadline for long
@@ -83,7 +83,7 @@
     half of that, it could expire while others are served.
     Given a queue
     And a request of 100 tokens waits at 0 s until 2 s
-    When a warm request arrives every 0.05 s and one is taken every 0.05 s
+    When a warm request arrives and one is taken every 0.05 s
     Then the cold one is taken before 1.1 s
 
   Scenario: A customer with warm prefixes doesn't monopolise its tier
@@ -108,16 +108,16 @@
       | r1   | report   | 10     |           |        |
       | p1   | position | 100    | a         | 40     |
       | a1   | alert    | 1000   |           |        |
-    Then the queue counts 1, 1, 1 and holds 30 bytes
+    Then 1 report, 1 position and 1 alert wait, with 30 bytes
     And the backlog at positions and above is 1100 tokens
     When all requests below alerts are dropped
-    Then the queue counts 0, 0, 1 and holds 10 bytes
+    Then 0 report, 0 position and 1 alert wait, with 10 bytes
 
   Scenario: The lowest tier's customer with the most backlog is shed first
     Given a queue where customer "large" has weight 1 and "small" has weight 1
     And 5 requests from "large" and 2 from "small" wait
-    Then the victim for an alert is the last request from "large"
-    And there is no victim for a position request
+    Then to make room for an alert, the last request from "large" is shed first
+    And nothing is shed to make room for a position
 
   Scenario: Expired requests are removed once and never taken
     Given a queue
@@ -134,7 +134,7 @@
       | a1   | alert    | 10     |
     Then upstream "x" takes r1, a1 at 1 s
 
-  Scenario: Random operations keep the queue's counters and strict order
+  Scenario: Random operations keep the queue's counts, costs and strict order
     Given a queue
     When 3000 random operations run with seed 7
-    Then every take was from the highest tier and the counters always matched
+    Then every take was from the highest tier, and counts and costs stayed right
--- a/lavenderspoke/admission.py
+++ b/lavenderspoke/admission.py
@@ -1,4 +1,4 @@
-"""Refuses arrivals over their customer's limits or sure to miss their deadline."""
+"""Refuses arrivals over a customer limit or expected to miss their deadline."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 from lavenderspoke.waiting import WaitingQueue
 
 RETRY_AFTER_MIN_S = 1.0
-RETRY_AFTER_MAX_S = 60.0
+RETRY_AFTER_BASE_MAX_S = 60.0
 # Retry-After is lengthened at random by up to this share, so that refused callers
 # don't all come back at once.
 RETRY_AFTER_JITTER = 0.5
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class TokenBucket:
-    """A token bucket that starts full; `per_s` tokens are added each second.
+    """A token bucket that starts full; a request takes a token.
 
     >>> bucket = TokenBucket(per_s=2.0, burst=1, refilled_s=0.0)
     >>> bucket.take(0.0), bucket.take(0.0)
@@ -65,7 +65,7 @@
                 del self._buckets[name]
         self._service = service
 
-    def admit(
+    def find_problem(
         self,
         call: Call,
         deadline_in_s: float,
@@ -75,11 +75,11 @@
     ) -> Problem | None:
         """Return why a request is refused before it is queued, or None to admit it.
 
-        A deadline is unreachable when the requests queued at its tier and above
-        would take longer to leave at the measured drain rate. Without a
-        measured rate the deadline isn't checked.
+        The deadline is unreachable when, at the measured drain rate, the requests
+        queued at the call's tier and above would take longer than the time left.
+        Without a measured rate the deadline isn't checked.
         """
-        wait_s = self._estimate_wait_s(call.tier, queue, drain_rate)
+        wait_s = self._update_wait_s(call.tier, queue, drain_rate)
         if wait_s is not None and wait_s > deadline_in_s:
             return _refusal(
                 Reason.DEADLINE_UNREACHABLE, self.retry_after_s(call.tier, now_s)
@@ -95,15 +95,15 @@
     ) -> float:
         """Return the seconds after which a refused caller should retry, with jitter.
 
-        The estimate comes from the tier's backlog and drain rate: the current
-        ones if `queue` and `drain_rate` are given, else those of the last call
-        that had them.
+        It is the backlog at the tier and above divided by the drain rate: the
+        current ones if `queue` and `drain_rate` are both given, else the latest
+        estimate. Without a measured rate it is `RETRY_AFTER_MIN_S`.
         """
         if queue is not None and drain_rate is not None:
-            self._estimate_wait_s(rank, queue, drain_rate)
+            self._update_wait_s(rank, queue, drain_rate)
         return self._with_jitter_s(self._last_waits_s.get(rank, RETRY_AFTER_MIN_S))
 
-    def _estimate_wait_s(
+    def _update_wait_s(
         self, rank: int, queue: WaitingQueue, drain_rate: DrainRate
     ) -> float | None:
         tokens_per_s = drain_rate.tokens_per_s(rank)
@@ -119,7 +119,7 @@
         customer = self._service.customer(call.customer)
         if customer is None:
             return None
-        if queue.customer_count(customer.name) >= customer.waiting_max:
+        if queue.count_of_customer(customer.name) >= customer.waiting_max:
             return _refusal(Reason.CUSTOMER_LIMIT, self.retry_after_s(call.tier, now_s))
         wait_s = self._bucket_wait_s(customer, now_s)
         if wait_s > 0.0:
@@ -136,7 +136,7 @@
         return self._buckets[customer.name].take(now_s)
 
     def _with_jitter_s(self, wait_s: float) -> float:
-        bounded_s = min(max(wait_s, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S)
+        bounded_s = min(max(wait_s, RETRY_AFTER_MIN_S), RETRY_AFTER_BASE_MAX_S)
         return bounded_s * (1.0 + self._random.random() * RETRY_AFTER_JITTER)
 
 
--- a/lavenderspoke/affinity.py
+++ b/lavenderspoke/affinity.py
@@ -28,51 +28,51 @@
 
     def __init__(self, *, entries_max: int):
         self._entries_max = entries_max
-        self._upstreams_by_prefix: OrderedDict[str, set[str]] = OrderedDict()
-        self._prefixes_by_upstream: dict[str, set[str]] = {}
+        self._upstreams_by_hash: OrderedDict[str, set[str]] = OrderedDict()
+        self._hashes_by_upstream: dict[str, set[str]] = {}
         self._positions: dict[str, _EventPosition] = {}
-        self._entries = 0
+        self._pair_count = 0
 
     def __len__(self) -> int:
-        return self._entries
+        return self._pair_count
 
     def add(self, upstream: str, hashes: tuple[str, ...]) -> None:
         """Record that an upstream has these prefixes cached."""
-        prefixes = self._prefixes_by_upstream.setdefault(upstream, set())
+        upstream_hashes = self._hashes_by_upstream.setdefault(upstream, set())
         # The shortest prefix is touched last, so that it is evicted last: a longer
         # one is useless without it.
-        for prefix in reversed(hashes):
-            holders = self._upstreams_by_prefix.setdefault(prefix, set())
-            self._upstreams_by_prefix.move_to_end(prefix)
+        for prefix_hash in reversed(hashes):
+            holders = self._upstreams_by_hash.setdefault(prefix_hash, set())
+            self._upstreams_by_hash.move_to_end(prefix_hash)
             if upstream not in holders:
                 holders.add(upstream)
-                prefixes.add(prefix)
-                self._entries += 1
-        while self._entries > self._entries_max:
+                upstream_hashes.add(prefix_hash)
+                self._pair_count += 1
+        while self._pair_count > self._entries_max:
             self._evict_oldest()
 
     def remove(self, upstream: str, hashes: tuple[str, ...]) -> None:
         """Record that an upstream no longer has these prefixes cached."""
-        prefixes = self._prefixes_by_upstream.get(upstream, set())
-        for prefix in hashes:
-            if prefix in prefixes:
-                prefixes.remove(prefix)
-                self._remove_entry(upstream, prefix)
+        upstream_hashes = self._hashes_by_upstream.get(upstream, set())
+        for prefix_hash in hashes:
+            if prefix_hash in upstream_hashes:
+                upstream_hashes.remove(prefix_hash)
+                self._remove_pair(upstream, prefix_hash)
 
     def remove_upstream(self, upstream: str) -> None:
-        """Remove all entries of an upstream and its position in the events."""
-        for prefix in self._prefixes_by_upstream.pop(upstream, set()):
-            self._remove_entry(upstream, prefix)
+        """Remove all prefixes of an upstream and its position in the events."""
+        for prefix_hash in self._hashes_by_upstream.pop(upstream, set()):
+            self._remove_pair(upstream, prefix_hash)
         self._positions.pop(upstream, None)
 
     def apply_event(
         self, sender: InstanceId, message: PrefixHeld, *, upstream: str
     ) -> bool:
-        """Apply an agent's event; return False if it reveals a gap in the events.
+        """Apply an agent's event; return False after a gap or a restart.
 
         Events are numbered within an incarnation. After a gap, a restart or a
         reset a removal may have been missed, and requests would wait for an
-        upstream whose cache is cold, so the upstream's earlier entries are
+        upstream whose cache is cold, so the upstream's earlier prefixes are
         removed. Late and duplicate events are ignored.
         """
         known = self._positions.get(upstream)
@@ -94,31 +94,36 @@
     def lookup(self, hashes: tuple[str, ...], block_tokens: int) -> dict[str, int]:
         """Return the number of leading tokens that each upstream probably has cached.
 
-        `hashes` are those of a prompt; only blocks cached contiguously from the
-        first one count. Upstreams with none are left out.
+        `hashes` are those of a prompt, each of a block of `block_tokens`; only
+        blocks cached contiguously from the first count. Upstreams with none are
+        left out.
         """
         tokens: dict[str, int] = {}
-        unbroken: set[str] | None = None
-        for number, prefix in enumerate(hashes, start=1):
-            holders = self._upstreams_by_prefix.get(prefix, set())
-            unbroken = set(holders) if unbroken is None else unbroken & holders
-            if not unbroken:
+        contiguous_holders: set[str] | None = None
+        for number, prefix_hash in enumerate(hashes, start=1):
+            holders = self._upstreams_by_hash.get(prefix_hash, set())
+            contiguous_holders = (
+                set(holders)
+                if contiguous_holders is None
+                else contiguous_holders & holders
+            )
+            if not contiguous_holders:
                 break
-            tokens.update(dict.fromkeys(unbroken, number * block_tokens))
-        for prefix in reversed(hashes):
-            if prefix in self._upstreams_by_prefix:
-                self._upstreams_by_prefix.move_to_end(prefix)
+            tokens.update(dict.fromkeys(contiguous_holders, number * block_tokens))
+        for prefix_hash in reversed(hashes):
+            if prefix_hash in self._upstreams_by_hash:
+                self._upstreams_by_hash.move_to_end(prefix_hash)
         return tokens
 
-    def _remove_entry(self, upstream: str, prefix: str) -> None:
-        holders = self._upstreams_by_prefix[prefix]
+    def _remove_pair(self, upstream: str, prefix_hash: str) -> None:
+        holders = self._upstreams_by_hash[prefix_hash]
         holders.remove(upstream)
-        self._entries -= 1
+        self._pair_count -= 1
         if not holders:
-            del self._upstreams_by_prefix[prefix]
+            del self._upstreams_by_hash[prefix_hash]
 
     def _evict_oldest(self) -> None:
-        prefix, holders = self._upstreams_by_prefix.popitem(last=False)
-        self._entries -= len(holders)
+        prefix_hash, holders = self._upstreams_by_hash.popitem(last=False)
+        self._pair_count -= len(holders)
         for upstream in holders:
-            self._prefixes_by_upstream[upstream].discard(prefix)
+            self._hashes_by_upstream[upstream].discard(prefix_hash)
--- a/lavenderspoke/arrivalchecks.py
+++ b/lavenderspoke/arrivalchecks.py
@@ -8,8 +8,8 @@
 from lavenderspoke.servicestate import ServiceState
 from lavenderspoke.tracked import Tracked
 
-# Retry-After of an entry that has no document yet or is draining: another entry,
-# or this one a little later, can serve the caller.
+# Retry-After of an entry that is draining or has no document yet: another entry
+# can serve the caller, or this one once it has the document.
 RETRY_SOON_S = 1.0
 
 
@@ -68,7 +68,7 @@
         return refusal(Reason.RETRY_BUDGET, retry_after_s)
 
     def _check_admission(self, state: ServiceState, arrival, now_s) -> Problem | None:
-        return state.admission.admit(
+        return state.admission.find_problem(
             arrival.call, arrival.deadline_in_s, now_s, state.queue, state.drain_rate
         )
 
@@ -79,12 +79,12 @@
 
 
 def ran_when_dropped(tracked: Tracked) -> Ran:
-    """Return whether a request that this entry gives up may have run.
+    """Return UNKNOWN if a request that this entry drops may have run, else NO.
 
-    The answer is "no" only if no agent has it, it isn't a re-send, and no other
-    attempt was found to hold its key. A re-send without all its claims may have
-    run as an earlier attempt; one with all of them releases them now, after
-    which an earlier attempt may run.
+    It is NO only if no agent has it, it isn't a re-send, and no other attempt was
+    found to hold its key. A re-send that doesn't hold all claims on its key may
+    have run as an earlier attempt. One that holds them releases them when it is
+    dropped, and an earlier attempt may then run.
     """
     is_resend = tracked.call.key and tracked.arrival.sending is Sending.RESEND
     in_doubt = tracked.is_out or is_resend or tracked.is_contested
--- a/lavenderspoke/demand.py
+++ b/lavenderspoke/demand.py
@@ -1,9 +1,10 @@
 """Notifies agents that requests wait, so that they pull them.
 
-The best few agents are notified of an arrival at once. If requests still wait
-`BROADCAST_AFTER_S` later, every agent of the service is notified, unless its
-last notification already named the waiting tiers. Under load this sends almost
-nothing: an agent that knows of waiting requests pulls whenever it has free slots.
+At most `NOTIFIED_AT_ONCE_MAX` agents with free slots are notified of a queued
+request at once. While requests wait, every agent of the service is notified each
+`BROADCAST_AFTER_S`, unless its last notification already named the waiting tiers.
+Under load this sends almost nothing: an agent that knows of waiting requests
+pulls whenever it has free slots.
 """
 
 import attrs
@@ -14,7 +15,7 @@
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import WaitingQueue
 
-FANOUT = 2
+NOTIFIED_AT_ONCE_MAX = 2
 BROADCAST_AFTER_S = 0.02
 
 
@@ -34,13 +35,13 @@
         agents: list[AgentView],
         now_s: float,
     ) -> list[Send]:
-        """Notify the best agents with free slots, and schedule a broadcast."""
+        """Notify the preferred agents with free slots, and schedule a broadcast."""
         if self.next_broadcast_s is None:
             self.next_broadcast_s = now_s + BROADCAST_AFTER_S
         free = [v for v in agents if v.accepts_work and v.announce.room > 0]
         free.sort(key=lambda view: notification_sort_key(view, cached_tokens))
         sends = []
-        for view in free[:FANOUT]:
+        for view in free[:NOTIFIED_AT_ONCE_MAX]:
             if call.tier not in self._notified_tiers.get(view.agent, ()):
                 sends.append(self._notify(view.agent, queue))
         return sends
@@ -48,7 +49,10 @@
     def broadcast_if_due(
         self, queue: WaitingQueue, agents: list[AgentView], now_s: float
     ) -> list[Send]:
-        """If a broadcast is due, notify agents that don't know of a waiting tier."""
+        """If a broadcast is due, notify agents that don't know of a waiting tier.
+
+        The next one is scheduled if requests still wait.
+        """
         if self.next_broadcast_s is None or now_s < self.next_broadcast_s:
             return []
         self.next_broadcast_s = now_s + BROADCAST_AFTER_S if len(queue) else None
@@ -63,7 +67,7 @@
     def notify_all(self, queue: WaitingQueue, agents: list[AgentView]) -> list[Send]:
         """Notify these agents again, since any message may have been lost.
 
-        Which tiers other agents were notified of is forgotten.
+        Earlier notifications of agents that aren't in `agents` are forgotten.
         """
         present = {view.agent for view in agents}
         self._notified_tiers = {
@@ -87,7 +91,8 @@
 def notification_sort_key(view: AgentView, cached_tokens: dict[str, int]) -> tuple:
     """Return the sort key of an agent; the smallest is notified first.
 
-    Stragglers come last, then more cached tokens first, then less load.
+    It prefers agents that aren't straggling, then more cached tokens, then less
+    load (step time times one more than the running requests).
     """
     announce = view.announce
     busy_s = announce.step_s * (announce.running + 1)
--- a/lavenderspoke/dispatching.py
+++ b/lavenderspoke/dispatching.py
@@ -3,7 +3,7 @@
 Pulling is the default. The two push policies exist to be benchmarked against
 it: the entry sends each request at once to the agent whose last announcement
 reports the fewest running requests, or to the better of two random agents.
-Pushing suffers from late announcements and engines of different speeds; pulling
+Pushing suffers from late announcements and upstreams of different speeds; pulling
 doesn't.
 """
 
@@ -21,7 +21,7 @@
 
 
 class Dispatching(enum.Enum):
-    """How requests reach agents."""
+    """Pulled by agents, or pushed to the least loaded or the better of two."""
 
     PULL = "pull"
     LEAST_LOAD = "least_load"
--- a/lavenderspoke/drainrate.py
+++ b/lavenderspoke/drainrate.py
@@ -2,21 +2,22 @@
 
 A tier's rate is the cost of the requests granted at its rank and above, divided
 by the time in which requests of its rank were waiting. So it measures the
-capacity available to the tier rather than its arrival rate, and a tier without
-a backlog has no estimate.
+capacity available to the tier rather than its arrival rate. A tier that never had
+a backlog has no estimate; one whose backlog ended keeps the last.
 """
 
 import math
 
 import attrs
 
+# Decay time constant, in seconds of backlogged time.
 TIME_CONSTANT_S = 10.0
 # The shortest backlogged time from which a rate is estimated.
 BACKLOGGED_MIN_S = 0.5
 
 
 @attrs.define(kw_only=True)
-class _DecayingRate:
+class _DecayingSums:
     tokens: float = 0.0
     requests: float = 0.0
     backlogged_s: float = 0.0
@@ -39,14 +40,14 @@
     """
 
     def __init__(self):
-        self._rates: dict[int, _DecayingRate] = {}
+        self._rates: dict[int, _DecayingSums] = {}
         self._waiting: dict[int, int] = {}
         self._last_grant_s = 0.0
 
     def record_grant(
         self, rank: int, tokens: int, now_s: float, still_waiting: dict[int, int]
     ) -> None:
-        """Record a granted request; `still_waiting` is the queue's counts after it.
+        """Record a granted request; `still_waiting` has the counts by rank after it.
 
         The time since the previous grant counts as backlogged for the tiers that
         had requests waiting after that grant.
@@ -54,7 +55,7 @@
         elapsed_s = max(0.0, now_s - self._last_grant_s)
         for waiting_rank in self._waiting:
             is_counted = waiting_rank <= rank
-            self._rates.setdefault(waiting_rank, _DecayingRate()).add(
+            self._rates.setdefault(waiting_rank, _DecayingSums()).add(
                 tokens=tokens if is_counted else 0,
                 requests=1 if is_counted else 0,
                 elapsed_s=elapsed_s,
@@ -72,7 +73,7 @@
         rate = self._measured_rate(rank)
         return None if rate is None else rate.requests / rate.backlogged_s
 
-    def _measured_rate(self, rank: int) -> _DecayingRate | None:
+    def _measured_rate(self, rank: int) -> _DecayingSums | None:
         rate = self._rates.get(rank)
         if rate is None or rate.backlogged_s < BACKLOGGED_MIN_S or not rate.tokens:
             return None
--- a/lavenderspoke/dropping.py
+++ b/lavenderspoke/dropping.py
@@ -1,4 +1,8 @@
-"""Drops an entry's waiting requests: over capacity, below a floor, quarantined."""
+"""Drops requests that no agent has.
+
+They are dropped when the entry is over its limits, when they are below a floor or
+past their deadline, or when their content is quarantined.
+"""
 
 from collections.abc import Callable
 
@@ -21,9 +25,9 @@
 
 @attrs.define(kw_only=True)
 class RequestDropper:
-    """Drops requests of one entry; a drop is the final answer to the caller.
+    """Drops requests of one entry; each dropped request gets a final answer.
 
-    `requests_max` limits the entry's requests, waiting or granted to an agent.
+    `requests_max` limits the requests accepted and not yet answered.
     """
 
     requests: TrackedRequests
@@ -31,7 +35,10 @@
     requests_max: int
 
     def shed_excess(self, state: ServiceState, now_s: float) -> list:
-        """Shed the lowest-tier requests over the limits, as the floors permit."""
+        """Shed the lowest-tier requests over the limits, as the floors permit.
+
+        At `requests_max` it sheds regardless of the floors.
+        """
         excess = len(self.requests) - int(self.requests_max * SHED_ABOVE_SHARE)
         is_forced = len(self.requests) >= self.requests_max
         dropped, actions = state.victims(now_s, self.peers.ids(), excess, is_forced)
@@ -41,11 +48,11 @@
         return self.apply(actions) + ended
 
     def is_near_limit(self) -> bool:
-        """Return whether the entry is above the share of its limit that it keeps."""
+        """Return whether there are more than `SHED_ABOVE_SHARE` of `requests_max`."""
         return len(self.requests) > self.requests_max * SHED_ABOVE_SHARE
 
     def apply(self, actions: list[DropBelow | Send]) -> list:
-        """Carry out the actions of a floor: drop requests, and pass on the sends."""
+        """Replace each DropBelow by the Finish actions of the requests below it."""
         done = []
         for action in actions:
             done += [action] if isinstance(action, Send) else self._drop_below(action)
@@ -81,7 +88,10 @@
         ]
 
     def finish_with(self, request_id: str, reason: Reason) -> Finish:
-        """Return a request's final answer, which tells the caller whether it ran."""
+        """Return the action that gives a request's final answer.
+
+        The answer tells the caller whether the request may have run.
+        """
         tracked = self.requests.get(request_id)
         ran = ran_when_dropped(tracked)
         problem = Problem(reason=reason, ran=ran)
--- a/lavenderspoke/poison.py
+++ b/lavenderspoke/poison.py
@@ -2,10 +2,11 @@
 
 Crash evidence names all content that was running in the upstream: the culprit
 and bystanders. Content is quarantined when it ran in crashes of enough distinct
-upstreams and no other content explains those crashes as well; a bystander's
-crashes are a subset of the culprit's. Contents that ran in exactly the same
-crashes can't be distinguished, so they are quarantined only after more crashes.
-Content that any upstream has answered completely is never a suspect.
+upstreams and no other content ran in all of them: a bystander of a culprit runs
+only in some of its crashes. Contents that ran in exactly the same crashes can't
+be distinguished, so they are quarantined only after crashes of more upstreams.
+Content among the last `ANSWERED_MAX` that an upstream answered completely isn't
+suspected.
 """
 
 from collections import OrderedDict
@@ -14,11 +15,12 @@
 
 from lavenderspoke.checking import fieldrules
 
+# Bounds of what a history remembers; the oldest is forgotten first.
 CRASHES_MAX = 256
 ANSWERED_MAX = 4096
 # Crashed upstreams beyond the threshold after which contents that can't be
 # distinguished are all quarantined.
-AMBIGUOUS_EXTRA = 2
+AMBIGUOUS_EXTRA_UPSTREAMS = 2
 
 
 @attrs.frozen(kw_only=True)
@@ -60,7 +62,7 @@
 class _Crash:
     upstream: str
     fingerprints: frozenset[str]
-    at_s: float
+    recorded_s: float
 
 
 class CrashHistory:
@@ -91,7 +93,7 @@
         self._crashes[message.crash_id] = _Crash(
             upstream=message.upstream,
             fingerprints=frozenset(each for each in message.fingerprints if each),
-            at_s=now_s,
+            recorded_s=now_s,
         )
         culprits = [
             each
@@ -142,13 +144,15 @@
             for each in others
         ):
             return False
-        ambiguous_threshold = self._policy.upstreams_threshold + AMBIGUOUS_EXTRA
+        ambiguous_threshold = (
+            self._policy.upstreams_threshold + AMBIGUOUS_EXTRA_UPSTREAMS
+        )
         return not others or len(upstreams) >= ambiguous_threshold
 
     def _unexplained_crashes(self, fingerprint: str, now_s: float) -> set[str]:
-        """Return the crashes it ran in that no other quarantined content explains.
+        """Return the crashes in which it ran without other quarantined content.
 
-        Otherwise a bystander in crashes of a known culprit would be quarantined
+        If the rest counted, a bystander of a known culprit would be quarantined
         after a single crash with another cause.
         """
         return {
@@ -176,7 +180,7 @@
         cutoff_s = now_s - self._policy.quarantine_s
         while self._crashes:
             oldest = next(iter(self._crashes.values()))
-            if oldest.at_s > cutoff_s and len(self._crashes) < CRASHES_MAX:
+            if oldest.recorded_s > cutoff_s and len(self._crashes) < CRASHES_MAX:
                 break
             self._crashes.popitem(last=False)
         self._quarantined_until_s = {
--- a/lavenderspoke/prefix.py
+++ b/lavenderspoke/prefix.py
@@ -1,14 +1,14 @@
 """Hashes the leading blocks of a prompt.
 
-A hash covers its block and all blocks before it, so equal hashes mean equal
-prefixes.
+A hash covers its block and all blocks before it, so equal hashes almost surely
+mean prefixes that are equal up to whitespace.
 """
 
 import hashlib
 from itertools import pairwise
 
 BLOCKS_MAX = 64
-HASH_DIGITS = 16
+HASH_HEX_DIGITS = 16
 
 
 def prefix_hashes(text: str, block_tokens: int) -> tuple[str, ...]:
@@ -24,11 +24,11 @@
     """
     words_max = BLOCKS_MAX * block_tokens
     words = text.split(maxsplit=words_max)[:words_max]
-    starts = range(0, len(words) + 1, block_tokens)
+    boundaries = range(0, len(words) + 1, block_tokens)
     hashes: list[str] = []
     previous_hash = ""
-    for start, end in pairwise(starts):
+    for start, end in pairwise(boundaries):
         content = previous_hash + " " + " ".join(words[start:end])
-        previous_hash = hashlib.sha256(content.encode()).hexdigest()[:HASH_DIGITS]
+        previous_hash = hashlib.sha256(content.encode()).hexdigest()[:HASH_HEX_DIGITS]
         hashes.append(previous_hash)
     return tuple(hashes)
--- a/lavenderspoke/reassembly.py
+++ b/lavenderspoke/reassembly.py
@@ -38,8 +38,8 @@
 
 
 def is_complete(last: Piece) -> bool:
-    """Return whether the last piece's count matches its number.
+    """Return whether an answer has as many pieces as its last piece says.
 
-    With a wrong count the answer is truncated, although it ended cleanly.
+    If not, it was truncated, although it has a last piece.
     """
     return last.count == last.number + 1
--- a/lavenderspoke/views.py
+++ b/lavenderspoke/views.py
@@ -14,7 +14,7 @@
 class AgentView:
     """The latest announcement of an agent's current incarnation.
 
-    `listed_leaving` says that the platform's member list has it as leaving.
+    `listed_leaving` says that the platform's member list marks it as leaving.
     """
 
     agent: InstanceId
@@ -39,7 +39,10 @@
 
 @attrs.define(kw_only=True)
 class AgentViews:
-    """The agents with an announcement in the last `silence_timeout_s`."""
+    """The agents that announced themselves within `silence_timeout_s`.
+
+    `remove_silent` removes the others.
+    """
 
     silence_timeout_s: float
     _views: dict[str, AgentView] = attrs.field(factory=dict)
@@ -66,7 +69,7 @@
         return is_new
 
     def set_listed_leaving(self, names: frozenset[str]) -> None:
-        """Set which agents the platform's member list has as leaving."""
+        """Set which agents the platform's member list marks as leaving."""
         self._leaving_names = names
         for view in self._views.values():
             view.listed_leaving = view.agent.name in names
@@ -102,7 +105,10 @@
 
 @attrs.define(kw_only=True)
 class PeerViews:
-    """The other entries with an announcement in the last `silence_timeout_s`."""
+    """The other entries that announced themselves within `silence_timeout_s`.
+
+    `remove_silent` removes the others.
+    """
 
     silence_timeout_s: float
     _views: dict[str, PeerView] = attrs.field(factory=dict)
--- a/lavenderspoke/waiting.py
+++ b/lavenderspoke/waiting.py
@@ -15,6 +15,7 @@
 from lavenderspoke.fairness import QueueItem, TierQueue, compute_sort_time_s
 from lavenderspoke.model import Call
 
+# Replace every customer and rank when the policy turns `fair` or `tiers` off.
 SHARED_CUSTOMER = ""
 SHARED_TIER_RANK = 0
 # Smaller than any other tie-breaker, so that a requeued request wins ties.
@@ -25,10 +26,10 @@
 class WaitingRequest:
     """A request that waits in this entry and in no other queue.
 
-    Times are on the entry's monotonic clock. `stamp` is the roster offset up to
-    which the entry had read when the request arrived. `cached_tokens` maps an
-    upstream's name to the prompt tokens it probably has cached; it is a hint,
-    read only when the request is added.
+    Times are on the entry's monotonic clock. `stamp` is the roster offset of its
+    arrival, or of its last round of claims. `cached_tokens` maps an upstream's
+    name to the prompt tokens it probably has cached; it is a hint, read only when
+    the request is added.
     """
 
     call: Call
@@ -40,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class QueuePolicy:
-    """The rules that order a queue; benchmarks turn them off one at a time."""
+    """The rules that order a queue; benchmarks turn some or all off."""
 
     tiers: bool = True
     fair: bool = True
@@ -54,7 +55,7 @@
 
 
 def cost_tokens(call: Call) -> int:
-    """Return a request's cost: its prompt plus its longest possible answer.
+    """Return a request's cost: its prompt plus its longest possible answer, at least 1.
 
     >>> cost_tokens(Call(request_id="r", service="s", method="POST", path="/",
     ...     customer="c", tier=1, prompt_tokens=30, max_output_tokens=12))
@@ -66,8 +67,8 @@
 class WaitingQueue:
     """The requests of one service that wait in one entry.
 
-    Operations search sorted lists, except `drop_below` and `reconfigure`, whose
-    cost grows with the number of waiting requests.
+    Operations search sorted lists, except `drop_below`, `reconfigure` and, without
+    tiers, `lowest_victim`, whose cost grows with the number of waiting requests.
     """
 
     def __init__(self, *, service: Service, policy: QueuePolicy = DEFAULT_QUEUE_POLICY):
@@ -76,7 +77,7 @@
         self._last_tie_breaker = 0
         self._requests: dict[str, WaitingRequest] = {}
         self._items: dict[str, QueueItem] = {}
-        self._clear()
+        self._reset_indexes()
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -91,13 +92,13 @@
         self._insert(request)
 
     def requeue(self, request: WaitingRequest, now_s: float) -> None:
-        """Add a request again whose grant was refused or revoked.
+        """Add a taken request again, since it was granted in vain or not at all.
 
         Its sort time still comes from its arrival and its customer's charge is
         refunded, so it regains its position.
         """
         item = self._insert(request, tie_breaker=REQUEUED_TIE_BREAKER)
-        self._tier_queue(item).refund(item)
+        self._tier_queue_of(item).refund(item)
 
     def get(self, request_id: str) -> WaitingRequest | None:
         """Return a waiting request without removing it."""
@@ -115,29 +116,31 @@
         Requests past their deadline are left for `pop_expired`.
         """
         prefixes = self._service.prefixes if self._policy.affinity else None
-        for rank in sorted(self._tiers, reverse=True):
-            tier = self._tiers[rank]
-            item = tier.choose(upstream=upstream, now_s=now_s, prefixes=prefixes)
+        for rank in sorted(self._tier_queues, reverse=True):
+            tier_queue = self._tier_queues[rank]
+            item = tier_queue.choose(upstream=upstream, now_s=now_s, prefixes=prefixes)
             if item is not None:
-                tier.charge(item)
+                tier_queue.charge(item)
                 return self._extract(item)
         return None
 
     def counts(self) -> dict[int, int]:
         """Return the number of waiting requests by tier rank."""
-        return {rank: count for rank, count in self._counts.items() if count}
+        return {rank: count for rank, count in self._counts_by_rank.items() if count}
 
-    def customer_count(self, customer: str) -> int:
+    def count_of_customer(self, customer: str) -> int:
         """Return the number of a customer's waiting requests."""
-        return self._customers[customer]
+        return self._counts_by_customer[customer]
 
-    def lowest_tier(self) -> int | None:
+    def lowest_rank(self) -> int | None:
         """Return the lowest rank with a waiting request, or None."""
         return min(self.counts(), default=None)
 
     def backlog_tokens(self, rank: int) -> int:
         """Return the total cost of the requests waiting at a rank or above."""
-        return sum(cost for each, cost in self._costs.items() if each >= rank)
+        return sum(
+            cost for each, cost in self._cost_tokens_by_rank.items() if each >= rank
+        )
 
     def next_deadline_s(self) -> float | None:
         """Return the earliest deadline of a waiting request, or None."""
@@ -151,41 +154,44 @@
         return expired
 
     def lowest_victim(self, below_rank: int) -> WaitingRequest | None:
-        """Return, without removing it, the request to shed first for `below_rank`.
+        """Return the request to shed first of those below a rank, or None.
 
         It is in the lowest waiting tier, from the customer there with the most
-        backlog per weight. None when no request below `below_rank` waits.
+        backlog per weight; without tiers it is the first one added. It isn't removed.
         """
-        lowest = self.lowest_tier()
+        lowest = self.lowest_rank()
         if lowest is None or lowest >= below_rank:
             return None
         if self._policy.tiers:
-            return self._requests[self._tiers[lowest].victim().request_id]
+            return self._requests[self._tier_queues[lowest].victim().request_id]
         return next(r for r in self._requests.values() if r.call.tier == lowest)
 
     def drop_below(self, rank: int) -> list[WaitingRequest]:
         """Remove and return every request of a tier below `rank`."""
         if not any(each < rank for each in self.counts()):
             return []
-        below = [item for item in self._items.values() if item.tier < rank]
+        below = [item for item in self._items.values() if item.rank < rank]
         return [self._extract(item) for item in below]
 
     def reconfigure(self, service: Service, now_s: float) -> None:
-        """Apply a new service document; each customer's requests keep their order."""
+        """Apply a new service document; each customer's requests keep their order.
+
+        All customers' virtual start times begin again at 0.
+        """
         requests = list(self._requests.values())
         tie_breakers = {key: item.tie_breaker for key, item in self._items.items()}
         self._service = service
         self._requests, self._items = {}, {}
-        self._clear()
+        self._reset_indexes()
         for request in requests:
             self._insert(request, tie_breaker=tie_breakers[request.call.request_id])
 
-    def _clear(self) -> None:
-        self._tiers: dict[int, TierQueue] = {}
+    def _reset_indexes(self) -> None:
+        self._tier_queues: dict[int, TierQueue] = {}
         self._deadlines: SortedList = SortedList()
-        self._counts: Counter[int] = Counter()
-        self._costs: Counter[int] = Counter()
-        self._customers: Counter[str] = Counter()
+        self._counts_by_rank: Counter[int] = Counter()
+        self._cost_tokens_by_rank: Counter[int] = Counter()
+        self._counts_by_customer: Counter[str] = Counter()
         self._bytes = 0
 
     def _insert(
@@ -198,24 +204,24 @@
         call = request.call
         self._requests[call.request_id] = request
         self._items[call.request_id] = item
-        self._tier_queue(item).add(item)
+        self._tier_queue_of(item).add(item)
         self._deadlines.add((request.deadline_s, call.request_id))
-        self._counts[call.tier] += 1
-        self._costs[call.tier] += item.cost_tokens
-        self._customers[call.customer] += 1
+        self._counts_by_rank[call.tier] += 1
+        self._cost_tokens_by_rank[call.tier] += item.cost_tokens
+        self._counts_by_customer[call.customer] += 1
         self._bytes += len(call.body)
         return item
 
     def _extract(self, item: QueueItem) -> WaitingRequest:
         request = self._requests.pop(item.request_id)
         del self._items[item.request_id]
-        self._tier_queue(item).discard(item)
+        self._tier_queue_of(item).discard(item)
         self._deadlines.remove((request.deadline_s, item.request_id))
-        self._counts[item.tier] -= 1
-        self._costs[item.tier] -= item.cost_tokens
-        self._customers[request.call.customer] -= 1
-        if not self._customers[request.call.customer]:
-            del self._customers[request.call.customer]
+        self._counts_by_rank[item.rank] -= 1
+        self._cost_tokens_by_rank[item.rank] -= item.cost_tokens
+        self._counts_by_customer[request.call.customer] -= 1
+        if not self._counts_by_customer[request.call.customer]:
+            del self._counts_by_customer[request.call.customer]
         self._bytes -= len(request.call.body)
         return request
 
@@ -231,7 +237,7 @@
             )
         return QueueItem(
             request_id=call.request_id,
-            tier=call.tier,
+            rank=call.tier,
             customer=call.customer if self._policy.fair else SHARED_CUSTOMER,
             cost_tokens=cost,
             arrived_s=request.arrived_s,
@@ -241,11 +247,11 @@
             cached_tokens=dict(request.cached_tokens) if self._policy.affinity else {},
         )
 
-    def _tier_queue(self, item: QueueItem) -> TierQueue:
-        rank = item.tier if self._policy.tiers else SHARED_TIER_RANK
-        if rank not in self._tiers:
-            self._tiers[rank] = TierQueue(weight_of=self._weight_of)
-        return self._tiers[rank]
+    def _tier_queue_of(self, item: QueueItem) -> TierQueue:
+        rank = item.rank if self._policy.tiers else SHARED_TIER_RANK
+        if rank not in self._tier_queues:
+            self._tier_queues[rank] = TierQueue(weight_of=self._weight_of)
+        return self._tier_queues[rank]
 
     def _weight_of(self, name: str) -> float:
         customer = self._service.customer(name)
