--- a/features/bagrules.py
+++ b/features/bagrules.py
@@ -19,9 +19,11 @@
     Unclaim,
 )
 
+# A step; it picks what it acts on by the random number.
 Rule = Callable[[CoreBag, int], None]
 Choice = tuple[str, int]
 
+# The empty ones are no fault; repetitions are weights.
 FAULTS = ("", "", "", "", "not_started", "broken", "forgotten")
 ADVANCES_S = (0.01, 0.03, 0.1, 0.3, 0.3, 1.0)
 JUMPS_S = (2.0, 5.0, 12.0)
@@ -35,12 +37,12 @@
     return items[number % len(items)] if items else None
 
 
-def entry_of(bag: CoreBag, number: int) -> Instance | None:
+def pick_entry(bag: CoreBag, number: int) -> Instance | None:
     alive = [each for each in bag.entries.values() if not each.is_gone]
     return pick(alive, number)
 
 
-def agent_of(bag: CoreBag, number: int) -> Instance | None:
+def pick_agent(bag: CoreBag, number: int) -> Instance | None:
     alive = [each for each in bag.agents.values() if not each.is_gone]
     return pick(alive, number)
 
@@ -92,13 +94,13 @@
 
 
 def send(bag: CoreBag, number: int) -> None:
-    entry = entry_of(bag, number)
+    entry = pick_entry(bag, number)
     if entry is not None:
         bag.send(entry, rank=pick(RANKS, number // 7))
 
 
 def send_first(bag: CoreBag, number: int) -> None:
-    entry = entry_of(bag, number)
+    entry = pick_entry(bag, number)
     if entry is not None:
         bag.keys.append(f"k{len(bag.keys)}")
         deadline_s = DEADLINE_MAX_S if number % 3 else 2.0
@@ -106,7 +108,7 @@
 
 
 def send_again(bag: CoreBag, number: int) -> None:
-    entry, key = entry_of(bag, number), pick(bag.keys[-3:], number // 7)
+    entry, key = pick_entry(bag, number), pick(bag.keys[-3:], number // 7)
     if entry is not None and key is not None:
         bag.send(entry, rank=1, key=key, sending=Sending.RESEND)
 
@@ -146,14 +148,14 @@
 
 
 def stop_agent(bag: CoreBag, number: int) -> None:
-    agent = agent_of(bag, number)
+    agent = pick_agent(bag, number)
     if agent is not None:
         agent.joining.is_leaving = True
         agent.inbox.append(agentevents.LeaveWanted())
 
 
 def list_leaving(bag: CoreBag, number: int) -> None:
-    agent = agent_of(bag, number)
+    agent = pick_agent(bag, number)
     if agent is not None:
         is_leaving = not agent.core.listed_leaving
         agent.inbox.append(agentevents.ListedLeaving(is_leaving=is_leaving))
@@ -180,7 +182,7 @@
 
 
 def finish(bag: CoreBag, number: int) -> None:
-    """Complete every answer, since an agent can't leave before that."""
+    """Complete every answer, so that a leaving agent can leave."""
     for _ in range(6):
         for upstream in bag.upstreams.values():
             for relay in list(upstream.relays):
@@ -200,7 +202,7 @@
 
 def send_some(bag: CoreBag, number: int) -> None:
     """Send, unless so many requests wait that tier order isn't guaranteed."""
-    entry = entry_of(bag, number)
+    entry = pick_entry(bag, number)
     waiting = len(entry.core.requests) + len(entry.inbox)
     if waiting < 2 * bag.settings.waiting_max:
         key = None if number % 4 else f"s{len(bag.promises.callers)}"
@@ -263,8 +265,8 @@
 def choices(weights: dict[str, int], *, count_min: int = 30, count_max: int = 90):
     """Return a strategy for lists of choices; weights are the rules' frequencies.
 
-    Half of the lists come from a seeded generator: hypothesis's own lists repeat
-    values so often that long causal chains are rare in them.
+    Half of the lists come from a seeded generator, with up to `count_min` more:
+    hypothesis's own lists repeat values so often that long causal chains are rare.
     """
     names = [name for name, weight in weights.items() for _ in range(weight)]
     each = strategies.tuples(strategies.sampled_from(names), strategies.integers(0, 97))
--- a/features/poison.feature
+++ b/features/poison.feature
@@ -36,7 +36,7 @@
     When "d" crashes running b1
     Then only bad is quarantined
 
-  Scenario: Content that was answered completely is no suspect
+  Scenario: Content that was answered completely isn't quarantined
     A request that every caller sends runs in every upstream, and so in every crash.
     Given a crash history with a threshold of 2
     When popular is answered
@@ -47,7 +47,7 @@
     And "b" crashes running bad, popular
     Then only bad is quarantined
 
-  Scenario: Contents that can't be distinguished are all quarantined in the end
+  Scenario: Contents that can't be distinguished are quarantined after more crashes
     Given a crash history with a threshold of 2
     When "a" crashes running bad, twin
     And "b" crashes running bad, twin
@@ -72,7 +72,7 @@
     And 601 s pass for the crash history
     Then nothing is quarantined
 
-  Scenario: No bystander is quarantined over many seeds
+  Scenario: No bystander is quarantined in many random runs
     Given 50 seeded runs of 10 upstreams with 8 slots, one culprit and callers that retry
     Then the culprit was quarantined in each run after at most 6 crashes
     And no bystander was quarantined in any run
--- a/features/runselector.feature
+++ b/features/runselector.feature
@@ -1,6 +1,6 @@
 Feature: One thread reads the streams of an upstream
-  The agent sends each request on its own thread and hands the rest of the answer
-  to the selector, which delivers the events in order.
+  A request's own thread sends it and reads until the answer is selectable. The
+  selector then reads the rest and delivers the events in order.
 
   Scenario: Many streams at once
     Given a model engine stand-in with 32 slots
@@ -19,7 +19,7 @@
 
   Scenario: An engine freezes in the middle of its streams
     No byte arrives and no connection breaks, as when a machine stalls. After the
-    read timeout every run is reported as broken.
+    read timeout every run is reported as broken, since it was silent for too long.
     Given a model engine stand-in with slow steps
     When 3 runs of 1000 tokens are handed to a selector with a timeout of 0.5 seconds
     And the engine's fault "freeze" becomes 1
@@ -37,7 +37,7 @@
     Then the run isn't selectable, and iterating returns both
 
   Scenario Outline: An answer with a length isn't handed to a selector
-    Its socket is closed with its last byte, and a selector can't wait on that.
+    Once its last byte is read, it has no open socket for a selector to wait on.
     Given an upstream that answers <type> with a length
     Then the run isn't selectable, and iterating returns it completely
 
--- a/features/steps/poison_steps.py
+++ b/features/steps/poison_steps.py
@@ -16,14 +16,14 @@
 def step_history(context, threshold):
     poison = QuarantinePolicy(upstreams_threshold=threshold, quarantine_s=600.0)
     context.crash_history = CrashHistory(service="s", policy=poison)
-    context.crashes, context.now_s = 0, 0.0
+    context.crash_count, context.now_s = 0, 0.0
 
 
 def crash(context, upstream, fingerprints):
     message = CrashEvidence(
         service="s",
         upstream=upstream,
-        crash_id=str(context.crashes),
+        crash_id=str(context.crash_count),
         fingerprints=fingerprints,
     )
     context.running = fingerprints
@@ -32,7 +32,7 @@
 
 @when('"{upstream}" crashes running {names}')
 def step_crash(context, upstream, names):
-    context.crashes += 1
+    context.crash_count += 1
     crash(context, upstream, tuple(names.split(", ")))
 
 
@@ -67,15 +67,15 @@
 
 
 def seeded_run(context, seed, *, upstreams, slots):
-    """Crash random upstreams until a quarantine; half the bystanders are retried."""
+    """Crash random upstreams until a quarantine; some bystanders are retried."""
     random = Random(seed)
     step_history(context, 2)
     retried, quarantines = [], []
-    while not quarantines and context.crashes < 20:
+    while not quarantines and context.crash_count < 20:
         beside = [each for each in retried if random.random() < slots / 40]
-        fresh = [f"{seed}-{context.crashes}-{n}" for n in range(slots - 1)]
+        fresh = [f"{seed}-{context.crash_count}-{n}" for n in range(slots - 1)]
         running = (beside + fresh)[: slots - 1]
-        context.crashes += 1
+        context.crash_count += 1
         quarantines = crash(
             context, f"u{random.randrange(upstreams)}", ("bad", *running)
         )
@@ -91,7 +91,7 @@
     context.runs = []
     for seed in range(runs):
         quarantines = seeded_run(context, seed, upstreams=upstreams, slots=slots)
-        context.runs.append((quarantines, context.crashes))
+        context.runs.append((quarantines, context.crash_count))
 
 
 @then("the culprit was quarantined in each run after at most {bound:d} crashes")
--- a/features/steps/runselector_steps.py
+++ b/features/steps/runselector_steps.py
@@ -23,38 +23,38 @@
 
 
 def hand_over(context, count, tokens, timeout_s=TIMEOUT_S):
-    """Send runs and hand each to the selector once it is selectable."""
+    """Start runs and hand each to the selector once it is selectable."""
     if not hasattr(context, "selector"):
         context.selector = RunSelector()
         context.add_cleanup(context.selector.stop)
-        context.taken = defaultdict(list)
+        context.events_by_run = defaultdict(list)
         context.tokens = tokens
-    for number in range(len(context.taken), len(context.taken) + count):
-        taken = context.taken[number]
+    for number in range(len(context.events_by_run), len(context.events_by_run) + count):
+        events = context.events_by_run[number]
         call = model_call(f"r{number}", f"{PROMPT} {number}", tokens)
         run = context.upstream.run(call, timeout_s=TIMEOUT_S)
         for event in run:
-            taken.append(event)
+            events.append(event)
             if run.is_selectable:
-                context.selector.add(run, taken.append, timeout_s=timeout_s)
+                context.selector.add(run, events.append, timeout_s=timeout_s)
                 break
 
 
-def ended(taken):
-    return taken and type(taken[-1]) in (UpstreamEnd, UpstreamBroken)
+def ended(events):
+    return events and type(events[-1]) in (UpstreamEnd, UpstreamBroken)
 
 
 def wait_ended(context):
     def all_ended():
-        return all(ended(taken) for taken in context.taken.values())
+        return all(ended(events) for events in context.events_by_run.values())
 
     wait_until(all_ended, TIMEOUT_S, "every run has ended")
 
 
 def check_complete(context, number):
-    taken = context.taken[number]
-    assert [type(each) for each in taken].count(UpstreamEnd) == 1, taken
-    bodies = [each for each in taken if isinstance(each, UpstreamBody)]
+    events = context.events_by_run[number]
+    assert [type(each) for each in events].count(UpstreamEnd) == 1, events
+    bodies = [each for each in events if isinstance(each, UpstreamBody)]
     assert stream_text(bodies) == answer_text(f"{PROMPT} {number}", context.tokens)
 
 
@@ -80,7 +80,7 @@
     hand_over(context, 0, 20)
     run = context.upstream.run(model_call("closed", PROMPT, 1), timeout_s=TIMEOUT_S)
     list(run)
-    context.selector.add(run, context.taken[0].append, timeout_s=TIMEOUT_S)
+    context.selector.add(run, context.events_by_run[0].append, timeout_s=TIMEOUT_S)
 
 
 @when("{count:d} run of {tokens:d} tokens is handed to a selector")
@@ -101,23 +101,23 @@
 @then("each run has its complete answer and ends once")
 def step_each_complete(context):
     wait_ended(context)
-    for number in context.taken:
+    for number in context.events_by_run:
         check_complete(context, number)
 
 
 @then("the first is broken and the others have complete answers")
 def step_first_broken(context):
     wait_ended(context)
-    assert isinstance(context.taken[0][-1], UpstreamBroken)
-    for number in range(1, len(context.taken)):
+    assert isinstance(context.events_by_run[0][-1], UpstreamBroken)
+    for number in range(1, len(context.events_by_run)):
         check_complete(context, number)
 
 
 @then("each run is reported as silent once")
 def step_silence(context):
     wait_ended(context)
-    for taken in context.taken.values():
-        endings = [each for each in taken if isinstance(each, UpstreamBroken)]
+    for events in context.events_by_run.values():
+        endings = [each for each in events if isinstance(each, UpstreamBroken)]
         assert [each.detail for each in endings] == ["silent for too long"], endings
 
 
@@ -126,10 +126,10 @@
     context.selector.stop()
 
     def unread():
-        return context.engine.counts()["tokens_unread"] > len(context.taken)
+        return context.engine.counts()["tokens_unread"] > len(context.events_by_run)
 
-    wait_until(unread, TIMEOUT_S, "tokens are unread")
-    assert not any(ended(taken) for taken in context.taken.values())
+    wait_until(unread, TIMEOUT_S, "the engine sees the streams close")
+    assert not any(ended(events) for events in context.events_by_run.values())
 
 
 def iterated(context):
