--- a/features/bagrules.py
+++ b/features/bagrules.py
@@ -1,4 +1,4 @@
-"""The choices of a property: what may happen next in a bag of messages."""
+"""The random steps that the property tests run on a `CoreBag`."""
 
 from collections.abc import Callable, Sequence
 
@@ -19,14 +19,16 @@
     Unclaim,
 )
 
+# A step; it picks what it acts on by the random number.
 Rule = Callable[[CoreBag, int], None]
 Choice = tuple[str, int]
 
+# The empty ones are no fault; repetitions are weights.
 FAULTS = ("", "", "", "", "not_started", "broken", "forgotten")
 ADVANCES_S = (0.01, 0.03, 0.1, 0.3, 0.3, 1.0)
 JUMPS_S = (2.0, 5.0, 12.0)
 AGENTS_MAX = 4
-# What would do harm if it were taken for news of the present.
+# Messages that would do harm if a late copy were treated as current.
 DELAYED = (Claimed, Grant, Granted, Refused, Revoke, Revoked, Unclaim)
 
 
@@ -35,14 +37,14 @@
     return items[number % len(items)] if items else None
 
 
-def entry_of(bag: CoreBag, number: int) -> Instance | None:
-    lives = [each for each in bag.entries.values() if not each.is_gone]
-    return pick(lives, number)
+def pick_entry(bag: CoreBag, number: int) -> Instance | None:
+    alive = [each for each in bag.entries.values() if not each.is_gone]
+    return pick(alive, number)
 
 
-def agent_of(bag: CoreBag, number: int) -> Instance | None:
-    lives = [each for each in bag.agents.values() if not each.is_gone]
-    return pick(lives, number)
+def pick_agent(bag: CoreBag, number: int) -> Instance | None:
+    alive = [each for each in bag.agents.values() if not each.is_gone]
+    return pick(alive, number)
 
 
 def flow(bag: CoreBag, number: int) -> None:
@@ -65,7 +67,7 @@
 
 
 def delay(bag: CoreBag, number: int) -> None:
-    """Hold a message back, or a copy of it, until `deliver_late`."""
+    """Hold back a message, or a copy of it, until `deliver_late`."""
     found = [each for each in bag.parcels if isinstance(each.message, DELAYED)]
     if found:
         parcel = pick(found, number // 2)
@@ -92,13 +94,13 @@
 
 
 def send(bag: CoreBag, number: int) -> None:
-    entry = entry_of(bag, number)
+    entry = pick_entry(bag, number)
     if entry is not None:
         bag.send(entry, rank=pick(RANKS, number // 7))
 
 
 def send_first(bag: CoreBag, number: int) -> None:
-    entry = entry_of(bag, number)
+    entry = pick_entry(bag, number)
     if entry is not None:
         bag.keys.append(f"k{len(bag.keys)}")
         deadline_s = DEADLINE_MAX_S if number % 3 else 2.0
@@ -106,7 +108,7 @@
 
 
 def send_again(bag: CoreBag, number: int) -> None:
-    entry, key = entry_of(bag, number), pick(bag.keys[-3:], number // 7)
+    entry, key = pick_entry(bag, number), pick(bag.keys[-3:], number // 7)
     if entry is not None and key is not None:
         bag.send(entry, rank=1, key=key, sending=Sending.RESEND)
 
@@ -146,14 +148,14 @@
 
 
 def stop_agent(bag: CoreBag, number: int) -> None:
-    agent = agent_of(bag, number)
+    agent = pick_agent(bag, number)
     if agent is not None:
         agent.joining.is_leaving = True
         agent.inbox.append(agentevents.LeaveWanted())
 
 
 def list_leaving(bag: CoreBag, number: int) -> None:
-    agent = agent_of(bag, number)
+    agent = pick_agent(bag, number)
     if agent is not None:
         is_leaving = not agent.core.listed_leaving
         agent.inbox.append(agentevents.ListedLeaving(is_leaving=is_leaving))
@@ -180,7 +182,7 @@
 
 
 def finish(bag: CoreBag, number: int) -> None:
-    """Let every answer come to its end, as an agent needs in order to leave."""
+    """Complete every answer, so that a leaving agent can leave."""
     for _ in range(6):
         for upstream in bag.upstreams.values():
             for relay in list(upstream.relays):
@@ -199,8 +201,8 @@
 
 
 def send_some(bag: CoreBag, number: int) -> None:
-    """Send, unless so much waits that the order of tiers is given up."""
-    entry = entry_of(bag, number)
+    """Send, unless so many requests wait that tier order isn't guaranteed."""
+    entry = pick_entry(bag, number)
     waiting = len(entry.core.requests) + len(entry.inbox)
     if waiting < 2 * bag.settings.waiting_max:
         key = None if number % 4 else f"s{len(bag.promises.callers)}"
@@ -216,7 +218,7 @@
 
 
 def advance_little(bag: CoreBag, number: int) -> None:
-    """Let time go on; no message is under way for longer than two of these."""
+    """Advance the time; a message is delivered within two of these steps."""
     late = bag.parcels[:]
     bag.advance(pick((0.01, 0.05, 0.2), number))
     for parcel in late:
@@ -260,26 +262,28 @@
 }
 
 
-def choices(weights: dict[str, int], *, least: int = 30, most: int = 90):
-    """Return a strategy of lists of choices; a rule's weight is how often.
+def choices(weights: dict[str, int], *, count_min: int = 30, count_max: int = 90):
+    """Return a strategy for lists of choices; weights are the rules' frequencies.
 
-    Half of them come from a seed: hypothesis's own lists repeat themselves so
-    much that long chains of causes are rare in them.
+    Half of the lists come from a seeded generator, with up to `count_min` more:
+    hypothesis's own lists repeat values so often that long causal chains are rare.
     """
     names = [name for name, weight in weights.items() for _ in range(weight)]
     each = strategies.tuples(strategies.sampled_from(names), strategies.integers(0, 97))
 
     def seeded(random) -> list[Choice]:
-        count = random.randint(least, most + least)
+        count = random.randint(count_min, count_max + count_min)
         return [(random.choice(names), random.randrange(98)) for _ in range(count)]
 
-    lists = strategies.lists(each, min_size=least, max_size=most)
+    lists = strategies.lists(each, min_size=count_min, max_size=count_max)
     return lists | strategies.randoms(use_true_random=True).map(seeded)
 
 
-def play(bag: CoreBag, made: list[Choice], *, is_healed: bool = True) -> CoreBag:
-    """Carry choices out, then heal everything and check how it all ended."""
-    for name, number in made:
+def run_choices(
+    bag: CoreBag, chosen: list[Choice], *, is_healed: bool = True
+) -> CoreBag:
+    """Run choices, then heal all faults and check the final state."""
+    for name, number in chosen:
         RULES[name](bag, number)
     if is_healed:
         bag.heal()
--- a/features/contended.feature
+++ b/features/contended.feature
@@ -1,34 +1,34 @@
-Feature: Many entries wait for the places that come free
-  The pattern: a burst at a service whose places are all taken, and every entry has
-  callers in line. Each learns of a free place at about the same time, and a tenth of a
-  second later of who took it. Driven, without a network.
+Feature: Contention of many entries for slots that become free
+  In a burst all slots of a service are taken, and every entry has waiting requests. All
+  learn of a free slot at about the same time, and only a tenth of a second later who took
+  it. On a manual clock, without a network.
 
   Scenario: A request of another entry ends
-    Guards against every entry sending to the one place that came free.
-    Given 30 entries with 2 requests each in line, for 5 places
-    When all learn in the same instant that 4 run there
-    Then in the mean of 40 times at most 2 requests are sent
+    Guards against every entry sending to the one slot that became free.
+    Given 30 entries with 2 waiting requests each, for 5 slots
+    When all learn at the same instant that 4 requests run at the upstream
+    Then on average over 40 runs, at most 2 requests are sent
 
   Scenario: Nobody else waits
-    Guards against a free place that its only taker leaves alone.
-    Given 1 entry with 2 requests each in line, for 5 places
-    When all learn in the same instant that 4 run there
-    Then in the mean of 40 times at least 1 request is sent
+    Guards against the only entry with waiting requests leaving a free slot unused.
+    Given 1 entry with 2 waiting requests each, for 5 slots
+    When all learn at the same instant that 4 requests run at the upstream
+    Then on average over 40 runs, at least 1 request is sent
 
   Scenario: A request of this entry ends
-    Guards against a place that stands empty although only this entry knows it is free.
-    Given 30 entries with 2 requests each in line, for 5 places
-    When a request of one of them ends there
-    Then it sends the next one at once, and only that
+    Guards against leaving a slot unused that only this entry knows to be free.
+    Given 30 entries with 2 waiting requests each, for 5 slots
+    When a request of one of them ends
+    Then it sends the next one at once, and no other
 
-  Scenario Outline: One that can't wait for the next chance
-    Guards against a stream that is given up beside a free place.
-    Given 30 entries with 2 requests each in line, for 5 places
-    When one with <own> in line learns that <running> run there
-    And it has a request that may not wait
+  Scenario Outline: A request that may not wait for the next free slot
+    Guards against a stream that is aborted although a slot is free.
+    Given 30 entries with 2 waiting requests each, for 5 slots
+    When one with <waiting> waiting requests learns that <running> requests run at the upstream
+    And it gets a request that may not wait
     Then that request is sent
 
     Examples:
-      | own | running |
-      | 0   | 4       |
-      | 2   | 3       |
+      | waiting | running |
+      | 0       | 4       |
+      | 2       | 3       |
--- a/features/entryfleet.py
+++ b/features/entryfleet.py
@@ -1,4 +1,4 @@
-"""Many entries that tell each other what they share, driven without a network."""
+"""A simulation of many entries that exchange gossip, without a network."""
 
 import heapq
 import itertools
@@ -6,18 +6,19 @@
 from random import Random
 
 from lavenderspoke.clock import ManualClock
+from lavenderspoke.direct.dissemination import Dissemination
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import SILENT_S, Whereabouts
-from lavenderspoke.direct.talk import Talk
+from lavenderspoke.direct.sharing import LIVE_TIMEOUT_S, EntryLocation
 from lavenderspoke.direct.tickets import Ticket
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 
 TICK_S = 0.02
+# Range of message delays, in seconds.
 DELAYS_S = (0.001, 0.003)
-LOOK_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 SERVICE = "narrative"
 
 
@@ -37,7 +38,7 @@
 
 
 class Entry:
-    """An entry's decisions, with its part in the talk."""
+    """An entry's dispatch decisions and gossip."""
 
     def __init__(
         self,
@@ -49,31 +50,34 @@
         upstreams: tuple[Upstream, ...] = (UPSTREAM,),
     ):
         self.me = InstanceId(name=name, incarnation="1")
-        self.whereabouts = Whereabouts(
+        self.location = EntryLocation(
             address=f"tcp://{name}:1", data_centre=data_centre
         )
-        self.office = Office(
+        self.dispatcher = DirectDispatcher(
             name=name,
-            whereabouts=self.whereabouts,
+            location=self.location,
             bounds=Bounds(),
             clock=clock,
             random=Random(seed),
             metrics=Metrics(),
         )
-        self.office.upstreams_changed(upstreams)
-        self.talk = Talk(me=self.me, office=self.office, clock=clock)
+        self.dispatcher.upstreams_changed(upstreams)
+        self.dissemination = Dissemination(
+            me=self.me, dispatcher=self.dispatcher, clock=clock
+        )
         self.is_down = False
 
 
 class Fleet:
-    """Entries whose messages take a moment."""
+    """Entries whose messages are delivered with a delay."""
 
-    def __init__(self, *, entries: int, data_centres: int, start_s: float = 0.0):
+    def __init__(self, *, entries: int, data_centres: int, start_within_s: float = 0.0):
         self.clock = ManualClock()
         self.sent: Counter[str] = Counter()
-        self.passing_on: set[str] = set()
-        # Whether all heard all, by the time of each look.
-        self.looks: list[tuple[float, list[tuple[str, str]]]] = []
+        # Names of the entries that have forwarded a message to another group.
+        self.forwarders: set[str] = set()
+        # Time of each check, and the result of `not_live`.
+        self.checks: list[tuple[float, list[tuple[str, str]]]] = []
         self._events: list = []
         self._numbers = itertools.count()
         self._random = Random(11)
@@ -86,9 +90,11 @@
                 seed=number,
             )
             self.entries[entry.me.name] = entry
-            begin_s = start_s * number / entries
-            self.at(begin_s, lambda entry=entry: self._start(entry, start_s > 0.0))
-        self.at(LOOK_EVERY_S, self._look)
+            begin_s = start_within_s * number / entries
+            self.at(
+                begin_s, lambda entry=entry: self._start(entry, start_within_s > 0.0)
+            )
+        self.at(CHECK_INTERVAL_S, self._check)
 
     @property
     def now_s(self) -> float:
@@ -103,36 +109,40 @@
         self.clock.advance(end_s - self.now_s)
 
     def restart(self, name: str) -> Entry:
-        """Start an entry anew; it has to learn everything."""
+        """Restart an entry without any state."""
         before = self.entries[name]
         before.is_down = True
         entry = Entry(
             name=name,
-            data_centre=before.whereabouts.data_centre,
+            data_centre=before.location.data_centre,
             clock=self.clock,
             seed=self._random.randrange(1000),
         )
         entry.me = InstanceId(name=name, incarnation=f"{before.me.incarnation}+")
-        entry.talk = Talk(me=entry.me, office=entry.office, clock=self.clock)
+        entry.dissemination = Dissemination(
+            me=entry.me, dispatcher=entry.dispatcher, clock=self.clock
+        )
         self.entries[name] = entry
         self._start(entry, only_earlier=False)
         return entry
 
-    def unheard(self) -> list[tuple[str, str]]:
-        """Return pairs of living entries of which one doesn't hear the other."""
-        living = {n: e for n, e in self.entries.items() if not e.is_down}
+    def not_live(self) -> list[tuple[str, str]]:
+        """Return pairs of running entries: one, and another that it sees as silent."""
+        running = {n: e for n, e in self.entries.items() if not e.is_down}
         return [
             (name, missing)
-            for name, entry in living.items()
-            for missing in living.keys() - {name} - set(entry.office.heard_names())
+            for name, entry in running.items()
+            for missing in running.keys()
+            - {name}
+            - set(entry.dispatcher.live_peer_names())
         ]
 
-    def send(self, sender: Entry, letter, delay_s: float | None = None) -> None:
+    def send(self, sender: Entry, outgoing, delay_s: float | None = None) -> None:
         self.sent[sender.me.name] += 1
-        if getattr(letter.message, "to_neighbours", False):
-            self.passing_on.add(sender.me.name)
+        if getattr(outgoing.message, "to_neighbours", False):
+            self.forwarders.add(sender.me.name)
         delay_s = delay_s or self._random.uniform(*DELAYS_S)
-        self.at(self.now_s + delay_s, lambda: self._deliver(sender, letter))
+        self.at(self.now_s + delay_s, lambda: self._deliver(sender, outgoing))
 
     def at(self, at_s: float, work) -> None:
         heapq.heappush(self._events, (at_s, next(self._numbers), work))
@@ -142,8 +152,8 @@
         for name, other in self.entries.items():
             if name == entry.me.name and only_earlier:
                 break
-            listed[name] = other.whereabouts
-        entry.office.peers_listed(listed)
+            listed[name] = other.location
+        entry.dispatcher.peers_listed(listed)
         self.at(
             self.now_s + self._random.uniform(0.0, TICK_S), lambda: self._tick(entry)
         )
@@ -153,47 +163,47 @@
             return
         self.at(self.now_s + TICK_S, lambda: self._tick(entry))
         if not entry.is_down:
-            for letter in entry.talk.tick():
-                self.send(entry, letter)
+            for outgoing in entry.dissemination.tick():
+                self.send(entry, outgoing)
 
-    def _deliver(self, sender: Entry, letter) -> None:
-        entry = self.entries[letter.name]
-        if entry.is_down or letter.address != entry.whereabouts.address:
+    def _deliver(self, sender: Entry, outgoing) -> None:
+        entry = self.entries[outgoing.name]
+        if entry.is_down or outgoing.address != entry.location.address:
             return
-        for further in entry.talk.heard(sender.me, letter.message):
+        for further in entry.dissemination.receive(sender.me, outgoing.message):
             self.send(entry, further)
 
-    def _look(self) -> None:
-        self.at(self.now_s + LOOK_EVERY_S, self._look)
-        self.looks.append((self.now_s, self.unheard()))
+    def _check(self) -> None:
+        self.at(self.now_s + CHECK_INTERVAL_S, self._check)
+        self.checks.append((self.now_s, self.not_live()))
 
 
-def begin_request(entry: Entry, number: int = 0) -> None:
-    now_s = entry.office._now_s()
+def submit_request(entry: Entry, number: int = 0) -> None:
+    now_s = entry.dispatcher._now_s()
     ticket = Ticket(
         request_id=f"r{number}",
         service=SERVICE,
         rank=(0, 0),
         prompt_tokens=100,
         answer_tokens=10,
-        first_s=now_s,
-        quiet_since_s=now_s,
+        first_arrived_s=now_s,
+        idle_since_s=now_s,
         deadline_s=now_s + 60.0,
         target_s=1.0,
         patience_s=60.0,
-        returned=False,
-        decided=lambda decision: None,
+        resubmitted=False,
+        on_decision=lambda decision: None,
     )
-    entry.office.submit(ticket)
+    entry.dispatcher.submit(ticket)
 
 
 def known_within_s(fleet: Fleet) -> float:
-    """Return how long it takes until all know of a request that begins to run."""
-    asker, *others = fleet.entries.values()
-    begin_request(asker)
-    begun_s = fleet.now_s
-    line = {e.me.name: e.office._scheduler.line(SERVICE) for e in others}
-    while any(line[e.me.name].pool.peers_running() == 0 for e in others):
-        assert fleet.now_s < begun_s + SILENT_S, "not known to all"
+    """Start a request at the first entry; return the time until all know of it."""
+    first, *others = fleet.entries.values()
+    submit_request(first)
+    started_s = fleet.now_s
+    queues = {e.me.name: e.dispatcher._scheduler.queue(SERVICE) for e in others}
+    while any(queues[e.me.name].pool.peer_requests() == 0 for e in others):
+        assert fleet.now_s < started_s + LIVE_TIMEOUT_S, "not known to all"
         fleet.run(0.005)
-    return fleet.now_s - begun_s
+    return fleet.now_s - started_s
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the life of one request, with the scheduler's part played here."""
+"""Steps about the handling of one request, with fakes of the dispatcher."""
 
 import socket
 import threading
@@ -10,15 +10,15 @@
 
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import SystemClock
-from lavenderspoke.direct.catalog import Repeat, Route, Share
-from lavenderspoke.direct.desk import Accepted, Outcome
-from lavenderspoke.direct.dialect import CallerHead, UpstreamCall
-from lavenderspoke.direct.exchange import AnswerCut, ConnectionPool
-from lavenderspoke.direct.handling import Handling
+from lavenderspoke.direct.catalog import Repeatability, Route, TrafficShare
+from lavenderspoke.direct.dialect import ControlRequest, RequestHead
+from lavenderspoke.direct.dispatcher import AcceptedRequest, AttemptOutcome
+from lavenderspoke.direct.exchange import ConnectionPool, IncompleteResponse
+from lavenderspoke.direct.handling import RequestHandler
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.tickets import Dispatch, Refusal, Refuse
 from lavenderspoke.model import Ran
 from lavenderspoke.observing.metrics import Metrics
@@ -28,38 +28,38 @@
 TIMEOUT_S = 5.0
 
 
-class OneUpstreamDesk:
-    """Sends every request to the same upstream and notes how attempts end."""
+class OneUpstreamDispatcher:
+    """Sends every request to the same upstream and records how attempts end."""
 
     def __init__(self, *, upstream: Upstream):
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[AttemptOutcome] = []
         self._upstream = upstream
         self._connections = ConnectionPool(
             host=upstream.host, port=upstream.port, clock=SystemClock()
         )
 
     def submit(self, ticket) -> None:
-        ticket.decided(Dispatch(upstream=self._upstream))
+        ticket.on_decision(Dispatch(upstream=self._upstream))
 
     def withdraw(self, ticket) -> bool:
         return False
 
-    def began(self, ticket, upstream) -> None:
+    def first_event_received(self, ticket, upstream) -> None:
         pass
 
-    def ended(self, ticket, upstream, accepted, outcome) -> None:
+    def attempt_ended(self, ticket, upstream, accepted, outcome) -> None:
         self.outcomes.append(outcome)
 
-    def connections(self, upstream) -> ConnectionPool:
+    def connection_pool(self, upstream) -> ConnectionPool:
         return self._connections
 
-    def may_retry(self, service) -> bool:
+    def take_retry(self, service) -> bool:
         return False
 
-    def stepped(self, upstream, step_s) -> None:
+    def event_interval_measured(self, upstream, step_s) -> None:
         pass
 
-    def looked(self, look) -> None:
+    def relocation_checked(self, look) -> None:
         pass
 
 
@@ -67,37 +67,38 @@
 RESERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"
 
 
-class PlainDialect:
-    """Takes every answer for the right one, and each 200 for a reservation."""
+class FakeDialect:
+    """Accepts every response as valid, and each 200 as a reservation."""
 
     def upstream_headers(self, *, reservation, **said) -> dict[str, str]:
         return {"Host": "test", "Reserved": reservation or "nothing"}
 
-    def never_ran(self, exchange) -> bool:
-        return exchange.status == 503
+    def is_not_run(self, response) -> bool:
+        return response.status == 503
 
-    def misdirected(self, exchange) -> bool:
-        return exchange.status == 421
+    def is_misdirected(self, response) -> bool:
+        return response.status == 421
 
-    def answers(self, exchange, head) -> bool:
+    def is_valid_response(self, response, head) -> bool:
         return True
 
-    def reserves(self, head) -> bool:
+    def supports_reservation(self, head) -> bool:
         return True
 
-    def reservation_call(self, *, head, upstream) -> UpstreamCall:
-        return UpstreamCall(method="POST", target="/reserve", headers={"Host": "test"})
+    def reservation_request(self, *, head, upstream) -> ControlRequest:
+        return ControlRequest(
+            method="POST", target="/reserve", headers={"Host": "test"}
+        )
 
-    def reservation(self, exchange, body) -> str | None:
-        return body.decode() if exchange.status == 200 else None
+    def parse_reservation(self, response, body) -> str | None:
+        return body.decode() if response.status == 200 else None
 
 
 class StepwiseUpstream(RawUpstream):
-    """Sends its parts in turn, with a pause before each but the first.
+    """Sends its parts one after the other, with a pause before each but the first.
 
-    Unless it `reserves` nothing, it first reserves a place for who asks for one, after
-    `before_reserving` has returned. `go_on` ends a pause, and returns once the next
-    part is sent.
+    If it `reserves`, it grants a reservation after `before_reserving` has returned.
+    `end_pause` ends a pause, and returns once all parts are sent.
     """
 
     def __init__(
@@ -114,13 +115,13 @@
         self._pause_s = pause_s
         self._reserves = reserves
         self._before_reserving = before_reserving
-        self._goes_on = threading.Event()
-        self._went_on = threading.Event()
+        self._pause_ended = threading.Event()
+        self._parts_sent = threading.Event()
         super().__init__(answer=b"", then=then)
 
-    def go_on(self) -> None:
-        self._goes_on.set()
-        assert self._went_on.wait(TIMEOUT_S)
+    def end_pause(self) -> None:
+        self._pause_ended.set()
+        assert self._parts_sent.wait(TIMEOUT_S)
 
     def _serve(self, connection: socket.socket) -> None:
         with connection:
@@ -137,13 +138,13 @@
             if number and self._is_closed_in_pause(connection):
                 return
             connection.sendall(part)
-        self._went_on.set()
+        self._parts_sent.set()
         if self._then == "keeps":
             self._closes_within(connection, TIMEOUT_S)
 
     def _is_closed_in_pause(self, connection: socket.socket) -> bool:
         until_s = time.monotonic() + self._pause_s
-        while time.monotonic() < until_s and not self._goes_on.is_set():
+        while time.monotonic() < until_s and not self._pause_ended.is_set():
             if self._closes_within(connection, 0.01):
                 return True
         return False
@@ -157,48 +158,48 @@
         return True
 
 
-class FewPlacesDesk(OneUpstreamDesk):
-    """Has one place at each upstream, and gives them out in turn."""
+class FewSlotsDispatcher(OneUpstreamDispatcher):
+    """Has one slot at each upstream, and hands them out in order."""
 
     def __init__(self, *, upstreams: list[Upstream]):
         super().__init__(upstream=upstreams[0])
         self.retries = 1
         self.held: list[Upstream] = []
-        # The ends of earlier attempts, as known when each upstream was asked.
-        self.ended_before: list[tuple[Outcome, ...]] = []
+        # The outcomes known each time that a connection pool was requested.
+        self.ended_before: list[tuple[AttemptOutcome, ...]] = []
         self._free = upstreams
 
     def submit(self, ticket) -> None:
         if not self._free:
             refuse = Refuse(reason=Refusal.CROWDED, retry_after_s=1.0)
-            ticket.decided(refuse)
+            ticket.on_decision(refuse)
             return
         upstream = self._free.pop(0)
         self.held.append(upstream)
-        ticket.decided(Dispatch(upstream=upstream))
+        ticket.on_decision(Dispatch(upstream=upstream))
 
-    def ended(self, ticket, upstream, accepted, outcome) -> None:
-        super().ended(ticket, upstream, accepted, outcome)
+    def attempt_ended(self, ticket, upstream, accepted, outcome) -> None:
+        super().attempt_ended(ticket, upstream, accepted, outcome)
         self.held.remove(upstream)
 
-    def give_back(self, ticket, upstream) -> None:
+    def release_slot(self, ticket, upstream) -> None:
         self.held.remove(upstream)
         self._free.insert(0, upstream)
 
-    def connections(self, upstream) -> ConnectionPool:
+    def connection_pool(self, upstream) -> ConnectionPool:
         self.ended_before.append(tuple(self.outcomes))
         return ConnectionPool(
             host=upstream.host, port=upstream.port, clock=SystemClock()
         )
 
-    def may_retry(self, service) -> bool:
+    def take_retry(self, service) -> bool:
         self.retries -= 1
         return self.retries >= 0
 
-    def retry_unused(self, service) -> None:
+    def return_retry(self, service) -> None:
         self.retries += 1
 
-    def written(self, ticket, steps) -> None:
+    def stream_completed(self, ticket, steps) -> None:
         pass
 
 
@@ -225,24 +226,24 @@
 
 def accepted_request(
     *, resumable: bool, attempts_max: int, patience_s: float = TIMEOUT_S
-) -> Accepted:
+) -> AcceptedRequest:
     route = Route(
         name="r",
         host="h",
         path_prefix="/",
-        repeat=Repeat.ONCE,
+        repeatability=Repeatability.ONCE,
         stream=True,
         resumable=resumable,
         timeout_s=TIMEOUT_S,
         target_s=1.0,
         patience_s=patience_s,
         rank=0,
-        shares=(Share(service="s", weight=1.0),),
+        traffic_split=(TrafficShare(service="s", weight=1.0),),
         attempts_max=attempts_max,
     )
     now_s = time.monotonic()
-    head = CallerHead(request_id="a", method="GET", target="/", host="h", headers=())
-    return Accepted(
+    head = RequestHead(request_id="a", method="GET", target="/", host="h", headers=())
+    return AcceptedRequest(
         head=head,
         body=b"",
         route=route,
@@ -250,17 +251,22 @@
         customer=None,
         rank=(0, 0),
         fingerprint="f",
-        returned=False,
-        first_s=now_s,
+        resubmitted=False,
+        first_arrived_s=now_s,
         arrived_s=now_s,
-        until_s=now_s + TIMEOUT_S,
+        deadline_s=now_s + TIMEOUT_S,
         version=1,
     )
 
 
-def handling_of(accepted: Accepted, desk: OneUpstreamDesk) -> Handling:
-    return Handling(
-        accepted=accepted, desk=desk, dialect=PlainDialect(), clock=SystemClock()
+def handling_of(
+    accepted: AcceptedRequest, dispatcher: OneUpstreamDispatcher
+) -> RequestHandler:
+    return RequestHandler(
+        accepted=accepted,
+        dispatcher=dispatcher,
+        dialect=FakeDialect(),
+        clock=SystemClock(),
     )
 
 
@@ -270,9 +276,9 @@
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + body
     raw = RawUpstream(answer=answer, then="keeps")
     context.add_cleanup(raw.close)
-    context.desk = OneUpstreamDesk(upstream=upstream_at(raw.port))
+    context.dispatcher = OneUpstreamDispatcher(upstream=upstream_at(raw.port))
     accepted = accepted_request(resumable=False, attempts_max=1)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
 def start_upstream(context, parts: list[bytes], pause_s: float, then: str, **more):
@@ -307,40 +313,40 @@
         for number, raw in enumerate([context.first, *others])
     ]
     upstreams += more
-    context.desk = FewPlacesDesk(upstreams=upstreams)
-    context.desk.retries = retries
+    context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
+    context.dispatcher.retries = retries
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
-@given("no other upstream has a place")
+@given("no other upstream has a free slot")
 def step_no_other(context):
     begin(context, [])
 
 
-@given("another upstream has a place")
+@given("another upstream has a free slot")
 def step_other(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
     context.other = start_upstream(context, rest, 0.0, "keeps")
     begin(context, [context.other])
 
 
-@given("another upstream that turns requests away")
-def step_turned_away(context):
+@given("another upstream that rejects requests")
+def step_rejecting(context):
     head = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
     begin(context, [start_upstream(context, [head], 0.0, "keeps", reserves=False)])
 
 
-@given("another upstream that reserves a place once the first has gone on")
-def step_goes_on(context):
+@given("another upstream that reserves a slot once the first has continued")
+def step_reserves_after_pause(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
     other = start_upstream(
-        context, rest, 0.0, "keeps", before_reserving=context.first.go_on
+        context, rest, 0.0, "keeps", before_reserving=context.first.end_pause
     )
     begin(context, [other])
 
 
-@given("another upstream that is asked for a place and doesn't answer")
+@given("another upstream that doesn't respond to a reservation")
 def step_no_answer(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
     stopped = threading.Event()
@@ -349,7 +355,7 @@
     begin(context, [other])
 
 
-@given("a resumable request at an upstream that begins to answer after {pause_s:g} s")
+@given("a resumable request at an upstream that responds after {pause_s:g} s")
 def step_begins_late(context, pause_s):
     parts = [b"", STREAM_HEAD + chunk(0) + chunk(1) + STREAM_END]
     context.first = start_upstream(context, parts, pause_s, "keeps")
@@ -360,51 +366,51 @@
     begin(context, [], more=[upstream_at(free_port(), name="x")])
 
 
-@given("a resumable request at an upstream that falls silent after its first event")
+@given("a resumable request at an upstream that is silent after its first event")
 def step_silent(context):
     context.first = start_upstream(context, [STREAM_HEAD + chunk(0)], 0.0, "keeps")
 
 
-@given("a resumable request at an upstream that ends after events of 1.5 s")
+@given("a resumable request at an upstream that breaks off after 1.5 s of events")
 def step_ending(context):
     parts = [STREAM_HEAD + chunk(0), chunk(1), chunk(2), b""]
     context.first = start_upstream(context, parts, 0.5, "ends")
     context.next_event = 3
 
 
-@given("callers that wait for {patience_s:g} s in silence")
+@given("callers that wait {patience_s:g} s for the next event")
 def step_patience(context, patience_s):
     context.patience_s = patience_s
 
 
-@given("the entry's own dispatcher, and another upstream that is idle")
+@given("the entry's real dispatcher, and another upstream that is idle")
 def step_own_dispatcher(context):
     rest = [STREAM_HEAD + chunk(getattr(context, "next_event", 1)) + STREAM_END]
     other = start_upstream(context, rest, 0.0, "keeps")
     first = upstream_at(context.first.port, name="first")
-    office = Office(
+    dispatcher = DirectDispatcher(
         name="entry-1",
-        whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+        location=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=SystemClock(),
         random=Random(1),
         metrics=Metrics(),
     )
-    office.upstreams_changed((first,))
+    dispatcher.upstreams_changed((first,))
     patience_s = getattr(context, "patience_s", TIMEOUT_S)
     accepted = accepted_request(resumable=True, attempts_max=2, patience_s=patience_s)
-    context.handling = handling_of(accepted, office)
-    context.begun = context.handling.first()
-    office.upstreams_changed((first, upstream_at(other.port, name="other")))
+    context.handling = handling_of(accepted, dispatcher)
+    context.begun = context.handling.handle()
+    dispatcher.upstreams_changed((first, upstream_at(other.port, name="other")))
 
 
-@given("another upstream has a place, and no retry is left")
+@given("another upstream has a free slot, and no retry is left")
 def step_no_retry(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
     begin(context, [start_upstream(context, rest, 0.0, "keeps")], retries=0)
 
 
-@given("another upstream has a place, and says nothing for {pause_s:g} s")
+@given("another upstream has a free slot, and sends nothing for {pause_s:g} s")
 def step_silent_other(context, pause_s):
     parts = [b"", STREAM_HEAD + chunk(1) + STREAM_END]
     begin(context, [start_upstream(context, parts, pause_s, "keeps")])
@@ -413,59 +419,59 @@
 @when("its stream is read to the end")
 def step_read_to_the_end(context):
     began_s = time.monotonic()
-    answer = getattr(context, "begun", None) or context.handling.first()
-    context.events = b"".join(answer.bodies)
+    answer = getattr(context, "begun", None) or context.handling.handle()
+    context.events = b"".join(answer.chunks)
     context.handling.close()
     context.took_s = time.monotonic() - began_s
 
 
 @when("its stream is read until it breaks off")
-def step_read_until_cut(context):
-    answer = context.handling.first()
+def step_read_until_error(context):
+    answer = context.handling.handle()
     try:
-        for _ in answer.bodies:
+        for _ in answer.chunks:
             pass
-    except AnswerCut as error:
-        context.cut = str(error)
+    except IncompleteResponse as error:
+        context.error = str(error)
     context.handling.close()
 
 
-@then('the cut is told as "{text}", after looks that found "{look}"')
-def step_cut_told(context, text, look):
-    assert context.cut == text, context.cut
-    assert set(context.handling.relocation.looks) == {
-        look
-    }, context.handling.relocation.looks
+@then('the error is "{text}", after relocations that ended as "{result}"')
+def step_error_after_relocations(context, text, result):
+    assert context.error == text, context.error
+    assert set(context.handling.relocation.results) == {
+        result
+    }, context.handling.relocation.results
 
 
 @then("its caller has events 0 and 1, and it ran at {count:d} upstream")
 @then("its caller has events 0 and 1, and it ran at {count:d} upstreams")
-def step_whole(context, count):
-    step_whole_to(context, 1, count)
+def step_events(context, count):
+    step_events_to(context, 1, count)
 
 
 @then("its caller has events 0 to {last:d}, and it ran at {count:d} upstreams")
-def step_whole_to(context, last, count):
+def step_events_to(context, last, count):
     events = b"".join(b"id: %d\ndata: a\n\n" % n for n in range(last + 1))
     assert context.events == events, context.events
     assert context.handling.runs == count, context.handling.trail
 
 
-@then("the first upstream was given up before the other was asked")
-def step_given_up_first(context):
-    # Each is asked for the request once, and the other for a place before that.
-    ended_before = context.desk.ended_before
-    assert ended_before == [(), (), (Outcome.SILENT,)], ended_before
+@then("the first attempt ended before the other upstream got the request")
+def step_ended_first(context):
+    # Each got the request once, and the other a reservation before that.
+    ended_before = context.dispatcher.ended_before
+    assert ended_before == [(), (), (AttemptOutcome.SILENT,)], ended_before
 
 
-@then("the other was asked with the place that it had reserved")
+@then("the other got the request with the slot that it had reserved")
 def step_with_reservation(context):
-    asked_place, asked = context.other.heads
-    assert asked_place.startswith(RESERVE), asked_place
-    assert b"\r\nReserved: r1\r\n" in asked, asked
+    reservation_head, request_head = context.other.heads
+    assert reservation_head.startswith(RESERVE), reservation_head
+    assert b"\r\nReserved: r1\r\n" in request_head, request_head
 
 
-@given("a request at an upstream in whose place another one answers")
+@given("a request at an upstream that another one has replaced")
 def step_misdirected(context):
     head = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
     context.first = start_upstream(context, [head], 0.0, "keeps")
@@ -476,18 +482,18 @@
     context.unreachable = [upstream_at(free_port(), name=f"x{n}") for n in range(count)]
 
 
-@given("another upstream streams its answer, and no retry is left")
+@given("another upstream streams its response, and no retry is left")
 def step_streams_without_retry(context):
     stream = [STREAM_HEAD + chunk(0) + chunk(1) + STREAM_END]
     other = start_upstream(context, stream, 0.0, "keeps")
     upstreams = [*context.unreachable, upstream_at(other.port)]
-    context.desk = FewPlacesDesk(upstreams=upstreams)
-    context.desk.retries = 0
+    context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
+    context.dispatcher.retries = 0
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.desk)
+    context.handling = handling_of(accepted, context.dispatcher)
 
 
-@given("another upstream streams its answer")
+@given("another upstream streams its response")
 def step_streams(context):
     stream = [STREAM_HEAD + chunk(0) + chunk(1) + STREAM_END]
     begin(context, [start_upstream(context, stream, 0.0, "keeps")])
@@ -495,25 +501,27 @@
 
 @when("its caller leaves while a connection is made")
 def step_leaves_early(context):
-    connections = context.desk.connections
+    connections = context.dispatcher.connection_pool
 
     def leave_then_connect(upstream):
-        context.handling.abandon()
+        context.handling.cancel()
         return connections(upstream)
 
-    context.desk.connections = leave_then_connect
-    context.handling.first()
+    context.dispatcher.connection_pool = leave_then_connect
+    context.handling.handle()
     context.handling.close()
 
 
 @then('the first attempt ended as "{outcome}"')
 def step_first_ended(context, outcome):
-    assert context.desk.outcomes[0] is Outcome(outcome), context.desk.outcomes
+    assert context.dispatcher.outcomes[0] is AttemptOutcome(
+        outcome
+    ), context.dispatcher.outcomes
 
 
-@then("no place is held")
+@then("no slot is held")
 def step_none_held(context):
-    assert context.desk.held == [], context.desk.held
+    assert context.dispatcher.held == [], context.dispatcher.held
 
 
 @then("it took less than {limit_s:g} s")
@@ -521,54 +529,58 @@
     assert context.took_s < limit_s, context.took_s
 
 
-@then("its retry is left")
+@then("its retry was returned")
 def step_retry_left(context):
-    assert context.desk.retries == 1, context.desk.retries
+    assert context.dispatcher.retries == 1, context.dispatcher.retries
 
 
-@then('a look found "{look}"')
-def step_look_found(context, look):
-    assert look in context.handling.relocation.looks, context.handling.relocation.looks
+@then('a relocation ended as "{result}"')
+def step_relocation_result(context, result):
+    assert (
+        result in context.handling.relocation.results
+    ), context.handling.relocation.results
 
 
-@when("its first event has come and the request is closed unread")
+@when("its first event has arrived and the request is closed unread")
 def step_closed(context):
-    context.handling.first()
+    context.handling.handle()
     context.handling.close()
 
 
-@when("its first event has come and its caller leaves")
+@when("its first event has arrived and its caller leaves")
 def step_leaves(context):
-    context.answer = context.handling.first()
-    assert next(context.answer.bodies).startswith(b"id: 0")
-    context.handling.abandon()
+    context.answer = context.handling.handle()
+    assert next(context.answer.chunks).startswith(b"id: 0")
+    context.handling.cancel()
 
 
 @when("its stream is read")
 def step_read(context):
-    context.answer = context.handling.first()
+    context.answer = context.handling.handle()
 
 
-@then('its place was given back once, as "{outcome}"')
-def step_given_back(context, outcome):
-    assert context.desk.outcomes == [Outcome(outcome)], context.desk.outcomes
+@then('its slot was released once, as "{outcome}"')
+def step_slot_released(context, outcome):
+    assert context.dispatcher.outcomes == [
+        AttemptOutcome(outcome)
+    ], context.dispatcher.outcomes
 
 
-@then('its stream breaks off, and its place was given back once, as "{outcome}"')
+@then('its stream breaks off, and its slot was released once, as "{outcome}"')
 def step_breaks_off(context, outcome):
     try:
-        for _ in context.answer.bodies:
+        for _ in context.answer.chunks:
             pass
-    except AnswerCut:
-        step_given_back(context, outcome)
+    except IncompleteResponse:
+        step_slot_released(context, outcome)
         return
     raise AssertionError("the stream ended as if it were whole")
 
 
-@then(
-    "its caller is told that it can't be completed, and its place was given back once"
-)
-def step_told(context):
+@then("it is refused as incomplete, and its slot was released once")
+def step_refused_incomplete(context):
     assert context.answer.reason is Reason.ANSWER_INCOMPLETE, context.answer
     assert context.answer.ran is Ran.UNKNOWN, context.answer
-    assert context.desk.outcomes == [Outcome.BROKEN], context.desk.outcomes
+    assert context.dispatcher.outcomes == [
+        AttemptOutcome.BROKEN
+    ], context.dispatcher.outcomes
--- a/features/steps/direct_start_steps.py
+++ b/features/steps/direct_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the first moments of an entry that dispatches directly."""
+"""Steps about the startup of an entry that uses direct dispatch."""
 
 import pathlib
 import socket
@@ -16,22 +16,22 @@
 from lavenderspoke.clock import ManualClock
 from lavenderspoke.direct.catalog import Catalog, Customer
 from lavenderspoke.direct.messages import SharedState
-from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.opening import Opening
-from lavenderspoke.direct.peerlink import PeerLink
+from lavenderspoke.direct.office import DirectDispatcher
+from lavenderspoke.direct.peerlink import PeerLinkLoader
 from lavenderspoke.direct.quota import Tolerance
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
+from lavenderspoke.direct.startuphold import StartupHold
 from lavenderspoke.http.server import HttpServer
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform import early
 from standins.processes import HOST, free_port
 
-ANSWER_WAIT_S = 5.0
+WAIT_S = 5.0
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# Prints how often garbage was looked for during the load, whether it will be later,
-# and whether what was loaded is left out then.
+# Prints the number of garbage collections during the load, whether collection is
+# enabled afterwards, and whether the loaded objects are frozen.
 LOAD = """
 import gc
 from lavenderspoke.platform import __main__ as main
@@ -50,18 +50,21 @@
     return str(path)
 
 
-class SlowLink:
-    """A link that is loaded when it is let go, and notes what it is asked."""
+class FakeLink:
+    """A link that loads once `may_load` is set, and records calls.
+
+    Its first `failures` starts fail.
+    """
 
     def __init__(self, *, failures: int = 0):
-        self.go = threading.Event()
+        self.may_load = threading.Event()
         self.starts = 0
-        self.told: list[str] = []
+        self.sent_to: list[str] = []
         self._failures = failures
         self._running = False
 
-    def load(self) -> "SlowLink":
-        assert self.go.wait(ANSWER_WAIT_S)
+    def load(self) -> "FakeLink":
+        assert self.may_load.wait(WAIT_S)
         return self
 
     def start(self) -> None:
@@ -77,20 +80,20 @@
     def alive(self) -> bool:
         return self._running
 
-    def tell(self, name, message) -> None:
-        self.told.append(name)
+    def send_to_peer(self, name, message) -> None:
+        self.sent_to.append(name)
 
 
 @given("a link to the other entries that takes a while to load")
 def step_slow_link(context):
-    context.link = SlowLink()
-    context.part = PeerLink(load=context.link.load)
+    context.link = FakeLink()
+    context.part = PeerLinkLoader(load=context.link.load)
 
 
 @given("a link to the other entries that fails at first")
 def step_failing_link(context):
-    context.link = SlowLink(failures=1)
-    context.part = PeerLink(load=context.link.load)
+    context.link = FakeLink(failures=1)
+    context.part = PeerLinkLoader(load=context.link.load)
 
 
 @when("its part is started")
@@ -100,8 +103,8 @@
 
 @when("the link has been loaded")
 def step_link_loaded(context):
-    context.link.go.set()
-    context.part.loaded(ANSWER_WAIT_S)
+    context.link.may_load.set()
+    context.part.wait_started(WAIT_S)
 
 
 @when("its part is stopped, and the link has been loaded")
@@ -110,17 +113,17 @@
     step_link_loaded(context)
 
 
-@then("the part is alive at once, and what is told meanwhile is dropped")
+@then("the part is alive at once, and messages sent before the load are dropped")
 def step_alive_at_once(context):
     assert context.part.alive()
-    context.part.tell("entry-2", None)
-    assert context.link.told == []
+    context.part.send_to_peer("entry-2", None)
+    assert context.link.sent_to == []
 
 
-@then("it was started once, and what is told then is sent")
+@then("it was started once, and later messages are sent")
 def step_started_once(context):
-    context.part.tell("entry-2", None)
-    assert context.link.starts == 1 and context.link.told == ["entry-2"]
+    context.part.send_to_peer("entry-2", None)
+    assert context.link.starts == 1 and context.link.sent_to == ["entry-2"]
     context.part.stop()
     assert not context.part.alive()
 
@@ -130,15 +133,15 @@
     assert context.link.starts == 0 and not context.part.alive()
 
 
-@then("the part is dead, and alive when it is started once more")
+@then("the part isn't alive until it is started again")
 def step_once_more(context):
     assert not context.part.alive()
     context.part.start()
-    context.part.loaded(ANSWER_WAIT_S)
+    context.part.wait_started(WAIT_S)
     assert context.part.alive() and context.link.starts == 1
 
 
-@when("the daemon is loaded without the machine's packages")
+@when("the daemon is loaded without a search of site-packages (-S)")
 def step_load(context):
     libraries = sysconfig.get_path("platlib")
     done = subprocess.run(
@@ -153,19 +156,21 @@
     context.loaded = done.stdout.split()
 
 
-@then("no garbage was looked for meanwhile, and it is from then on")
+@then(
+    "no garbage collection ran during the load, and later ones skip the loaded objects"
+)
 def step_garbage(context):
     assert context.loaded == ["0", "True", "True"], context.loaded
 
 
-@then("the deployed command loads it so")
+@then("the deployed command loads it that way")
 def step_deployed(context):
     deployed = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     command = deployed["roles"]["entry"]["run"].split()
     assert command == ["python3", "-S", "-m", "lavenderspoke.platform"]
 
 
-@given("a port that is listened on before a server is there")
+@given("a port with a listening socket and no server yet")
 def step_port(context):
     context.port = free_port()
     path = settings_file(context, f"listen.frontend={HOST}:{context.port}\n")
@@ -173,40 +178,42 @@
     assert context.listener is not None
 
 
-def answer_hello(environ, start_response):
+def respond_hello(environ, start_response):
     start_response("200 OK", [("Content-Length", "5")])
     return [b"hello"]
 
 
-@when("a caller sends a request, and a server takes the port over {seconds:g} s later")
+@when(
+    "a caller sends a request, and a server takes over the socket {seconds:g} s later"
+)
 def step_take_over(context, seconds):
-    caller = socket.create_connection((HOST, context.port), timeout=ANSWER_WAIT_S)
+    caller = socket.create_connection((HOST, context.port), timeout=WAIT_S)
     context.add_cleanup(caller.close)
     caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     time.sleep(seconds)
     server = HttpServer(
         host=HOST,
         port=context.port,
-        app=answer_hello,
+        app=respond_hello,
         threads=2,
         listener=context.listener,
     )
     server.prepare()
     context.add_cleanup(server.stop)
     threading.Thread(target=server.serve, daemon=True).start()
-    context.answer = b""
-    while not context.answer.endswith(b"hello"):
+    context.response = b""
+    while not context.response.endswith(b"hello"):
         data = caller.recv(4096)
-        assert data, context.answer
-        context.answer += data
+        assert data, context.response
+        context.response += data
 
 
-@then("the caller gets its answer")
+@then("the caller gets its response")
 def step_got(context):
-    assert context.answer.startswith(b"HTTP/1.1 200 OK"), context.answer
+    assert context.response.startswith(b"HTTP/1.1 200 OK"), context.response
 
 
-@then("nothing is listened on, and the daemon says what is wrong")
+@then("no socket is opened")
 def step_unreadable(context):
     assert early.listen("/nonexistent") is None
     for text in ("", "listen.frontend=here\n", f"listen.frontend={HOST}:x\n"):
@@ -214,7 +221,7 @@
 
 
 class StepClock(ManualClock):
-    """A clock on which each look takes a millisecond."""
+    """A clock that advances by a millisecond at each reading."""
 
     def monotonic_s(self) -> float:
         self.advance(0.001)
@@ -224,52 +231,52 @@
 @given("an entry that has just started")
 def step_started(context):
     context.clock = StepClock()
-    context.known_from_s = float("inf")
-    context.opening = Opening(
-        known=lambda: context.clock.monotonic_s() >= context.known_from_s,
+    context.complete_from_s = float("inf")
+    context.startup_hold = StartupHold(
+        is_ready=lambda: context.clock.monotonic_s() >= context.complete_from_s,
         clock=context.clock,
     )
 
 
-def held_s(context) -> float:
+def measure_hold_s(context) -> float:
     before_s = context.clock.monotonic_s()
-    context.opening.wait()
+    context.startup_hold.wait()
     return context.clock.monotonic_s() - before_s
 
 
-@then("it isn't ready until it knows enough, or has had {seconds:g} s for that")
-def step_is_over(context, seconds):
-    assert not context.opening.is_over()
-    context.known_from_s = context.clock.monotonic_s()
-    assert context.opening.is_over()
-    context.known_from_s = float("inf")
-    assert not context.opening.is_over()
+@then("it isn't ready until its initial state is complete or {seconds:g} s have passed")
+def step_not_ready_before(context, seconds):
+    assert not context.startup_hold.is_over()
+    context.complete_from_s = context.clock.monotonic_s()
+    assert context.startup_hold.is_over()
+    context.complete_from_s = float("inf")
+    assert not context.startup_hold.is_over()
     context.clock.advance(seconds)
-    assert context.opening.is_over()
+    assert context.startup_hold.is_over()
 
 
-@when("a request comes and the entry knows enough {seconds:g} s later")
-def step_knows(context, seconds):
-    context.known_from_s = context.clock.monotonic_s() + seconds
-    context.held_s = held_s(context)
+@when("a request arrives and the entry's initial state is complete {seconds:g} s later")
+def step_complete_later(context, seconds):
+    context.complete_from_s = context.clock.monotonic_s() + seconds
+    context.held_s = measure_hold_s(context)
 
 
-@when("a request comes and the entry never knows enough")
-def step_never(context):
-    context.held_s = held_s(context)
+@when("a request arrives and the entry's initial state is never complete")
+def step_never_complete(context):
+    context.held_s = measure_hold_s(context)
 
 
-@then("the request was held for {seconds:g} s, and the next one isn't held at all")
+@then("the request was held for {seconds:g} s, and the next one isn't held")
 def step_held(context, seconds):
     assert abs(context.held_s - seconds) < 0.02, context.held_s
-    assert held_s(context) < 0.02
+    assert measure_hold_s(context) < 0.02
 
 
 @given(
     "{count:d} entries that start together, a limit of {per_s:d} a second "
     "and {tolerated:d} tolerated"
 )
-def step_offices(context, count, per_s, tolerated):
+def step_dispatchers(context, count, per_s, tolerated):
     context.clock = ManualClock(start_s=100.0)
     context.customer = Customer(
         name="tours",
@@ -278,13 +285,13 @@
         per_s=float(per_s),
         burst=0.0,
         counts_tokens=True,
-        plain_tokens=1,
+        default_tokens=1,
     )
     tolerance = Tolerance(tokens=float(tolerated))
-    context.offices = {
-        f"entry-{number}": Office(
+    context.dispatchers = {
+        f"entry-{number}": DirectDispatcher(
             name=f"entry-{number}",
-            whereabouts=Whereabouts(address=f"tcp://10.0.0.{number}:1"),
+            location=EntryLocation(address=f"tcp://10.0.0.{number}:1"),
             bounds=Bounds(quota_tolerance=tolerance),
             clock=context.clock,
             random=Random(number),
@@ -293,51 +300,53 @@
         for number in range(count)
     }
     catalog = Catalog(version=1, routes=(), services={}, customers=(context.customer,))
-    entries = {name: Whereabouts(address=f"tcp://{name}") for name in context.offices}
-    for office in context.offices.values():
-        office.catalog_changed(catalog)
-        office.peers_listed(entries)
-    tell_each_other(context)
+    entries = {
+        name: EntryLocation(address=f"tcp://{name}") for name in context.dispatchers
+    }
+    for dispatcher in context.dispatchers.values():
+        dispatcher.catalog_changed(catalog)
+        dispatcher.peers_listed(entries)
+    exchange_states(context)
 
 
-def tell_each_other(context) -> None:
-    """Have all hear that the others are there, and nothing of what they spent."""
+def exchange_states(context) -> None:
+    """Let each entry receive a state without usage from every other, and tick."""
     context.number = getattr(context, "number", 0) + 1
-    for name, office in context.offices.items():
-        for peer in context.offices:
+    for name, dispatcher in context.dispatchers.items():
+        for peer in context.dispatchers:
             if peer != name:
                 sender = InstanceId(name=peer, incarnation="1")
                 state = SharedState(address=f"tcp://{peer}", number=context.number)
-                office.heard(sender, state)
-        office.tick()
+                dispatcher.receive_state(sender, state)
+        dispatcher.tick()
 
 
-def passes(context, office: Office, cost: float) -> bool:
+def try_spend(context, dispatcher: DirectDispatcher, cost: float) -> bool:
     now_s = context.clock.monotonic_s()
-    return office._quota.spend(context.customer, cost, rank=0, now_s=now_s)
+    return dispatcher._quota.spend(context.customer, cost, rank=0, now_s=now_s)
 
 
-@when("{count:d} requests of {cost:d} come to each in the first instant")
-def step_instant(context, count, cost):
+@when("{count:d} requests of {cost:d} tokens arrive at each entry at the same time")
+def step_requests_arrive(context, count, cost):
     context.passed = sum(
         cost
-        for office in context.offices.values()
+        for dispatcher in context.dispatchers.values()
         for _ in range(count)
-        if passes(context, office, float(cost))
+        if try_spend(context, dispatcher, float(cost))
     )
 
 
-@then("at most {most:d} pass in all, and at least {least:d}")
+@then("at most {most:d} tokens pass in total, and at least {least:d}")
 def step_passed(context, most, least):
     assert least <= context.passed <= most, context.passed
 
 
-@then("after {seconds:g} s an entry may give out a whole bucket alone")
-def step_alone(context, seconds):
+@then("after {seconds:g} s a single entry may admit at least 500 tokens")
+def step_admits(context, seconds):
     context.clock.advance(seconds)
-    tell_each_other(context)
-    office = context.offices["entry-0"]
-    given_out = 0
-    while passes(context, office, 50.0):
-        given_out += 50
-    assert given_out >= 500, given_out
+    exchange_states(context)
+    dispatcher = context.dispatchers["entry-0"]
+    admitted = 0
+    while try_spend(context, dispatcher, 50.0):
+        admitted += 50
+    assert admitted >= 500, admitted
--- a/features/steps/direct_stop_steps.py
+++ b/features/steps/direct_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the stop of an entry, whose server is held at a chosen point."""
+"""Steps about the shutdown of an entry whose server is paused at a chosen point."""
 
 import signal
 import socket
@@ -9,13 +9,14 @@
 
 from features.rawhttp import WAIT_S, wait_for
 from lavenderspoke.clock import ManualClock
-from lavenderspoke.direct.daemon import TURNED_AWAY_S, DirectEntry
+from lavenderspoke.direct.daemon import DRAIN_ACCEPT_S, DirectEntry
 from lavenderspoke.direct.settings import Address, DirectSettings
 from lavenderspoke.platform.wire import PlatformDialect
 from standins.processes import HOST, free_port
 
-# A drain that looks at the clock so often more has found a request each time.
-LOOKS = 4
+# The drain reads the clock once for each check for requests in flight. After this many
+# more checks it counts as still waiting for one.
+READINGS = 4
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -23,21 +24,21 @@
 class CountedClock(ManualClock):
     """A clock that counts how often it is read."""
 
-    looks = 0
+    readings = 0
 
     def monotonic_s(self) -> float:
-        self.looks += 1
+        self.readings += 1
         return super().monotonic_s()
 
 
 class StoppingEntry:
-    """An entry that answers each request with a short stream, and can't exit."""
+    """An entry that responds with a short stream, and whose exit only sets `exited`."""
 
     def __init__(self, context):
         self.clock = CountedClock(start_s=100.0)
-        self.held = threading.Event()
-        self.go = threading.Event()
-        self.ended = threading.Event()
+        self.paused = threading.Event()
+        self.may_continue = threading.Event()
+        self.exited = threading.Event()
         settings = DirectSettings(
             name="entry-1",
             data_centre="here",
@@ -52,60 +53,61 @@
         self.entry._feeds = mock.Mock()
         self.entry._app._handle = self._stream
         exits = mock.patch(
-            "lavenderspoke.direct.daemon.os._exit", lambda status: self.ended.set()
+            "lavenderspoke.direct.daemon.os._exit", lambda status: self.exited.set()
         )
         exits.start()
         context.add_cleanup(exits.stop)
-        self.entry._callers.start()
-        context.add_cleanup(self.entry._callers.stop)
-        context.add_cleanup(self.go.set)
-        self.server = self.entry._callers.server
+        self.entry._caller_server.start()
+        context.add_cleanup(self.entry._caller_server.stop)
+        context.add_cleanup(self.may_continue.set)
+        self.server = self.entry._caller_server.server
         wait_for(lambda: self.server.ready, "the server serves")
 
     def connect(self, context) -> None:
-        """Have a caller connect that says nothing yet."""
+        """Connect a caller that sends nothing yet."""
         address = (HOST, self.entry.settings.callers.port)
         self.caller = socket.create_connection(address, timeout=WAIT_S)
         context.add_cleanup(self.caller.close)
 
-    def hold_last_chunk(self) -> None:
-        """Hold each request once its application has ended."""
-        holding = self
+    def pause_last_chunk(self) -> None:
+        """Pause each request after its application has finished."""
+        stopping_entry = self
 
-        class HeldGateway(self.server.gateway):
+        class PausedGateway(self.server.gateway):
             def respond(self):
                 super().respond()
-                holding.held.set()
-                holding.go.wait()
+                stopping_entry.paused.set()
+                stopping_entry.may_continue.wait()
 
-        self.server.gateway = HeldGateway
+        self.server.gateway = PausedGateway
 
-    def hold_threads(self) -> None:
-        """Let all threads seem taken, and none come free."""
+    def occupy_threads(self) -> None:
+        """Make all threads seem busy."""
 
         def waited(connection) -> bool:
-            self.held.set()
-            return self.go.wait()
+            self.paused.set()
+            return self.may_continue.wait()
 
         self.server._has_thread = lambda: False
         self.server._waited_for_thread = waited
 
     def stop(self) -> None:
-        """Tell it to stop, and let the time pass in which it takes requests."""
+        """Call the signal handler, and advance past the time of accepting requests."""
         threading.Thread(target=self.entry._drain, daemon=True).start()
         self.entry._on_stop(signal.SIGTERM, None)
-        looks = self.clock.looks
-        wait_for(lambda: self.clock.looks > looks + 1, "the drain has begun")
-        self.clock.advance(TURNED_AWAY_S)
-
-    def stays(self) -> bool:
-        """Return whether it stays for some more looks at what is in flight."""
-        wait_for(lambda: self.ended.is_set() or self.entry._app.refusing, "refusing")
-        looks = self.clock.looks
+        readings = self.clock.readings
+        wait_for(lambda: self.clock.readings > readings + 1, "the drain has begun")
+        self.clock.advance(DRAIN_ACCEPT_S)
+
+    def keeps_running(self) -> bool:
+        """Return whether it keeps running for some more checks of the drain."""
+        wait_for(lambda: self.exited.is_set() or self.entry._app.refusing, "refusing")
+        readings = self.clock.readings
         wait_for(
-            lambda: self.ended.is_set() or self.clock.looks > looks + LOOKS, "looks"
+            lambda: self.exited.is_set() or self.clock.readings > readings + READINGS,
+            "the drain goes on",
         )
-        return not self.ended.is_set()
+        return not self.exited.is_set()
 
     @staticmethod
     def _stream(http_request, start_response, journey):
@@ -113,22 +115,22 @@
         yield b"whole"
 
 
-@given("an entry whose server is held before the last chunk of a stream")
-def step_held_chunk(context):
+@given("an entry whose server is paused before the last chunk of a stream")
+def step_paused_chunk(context):
     context.stopping = StoppingEntry(context)
-    context.stopping.hold_last_chunk()
+    context.stopping.pause_last_chunk()
     context.stopping.connect(context)
 
 
-@given("an entry whose server has no thread free")
-def step_held_threads(context):
+@given("an entry whose server has no free thread")
+def step_no_free_thread(context):
     context.stopping = StoppingEntry(context)
-    context.stopping.hold_threads()
+    context.stopping.occupy_threads()
     context.stopping.connect(context)
 
 
-@given("an entry with a caller that has said nothing")
-def step_nothing_said(context):
+@given("an entry with a caller that has sent nothing")
+def step_nothing_sent(context):
     context.stopping = StoppingEntry(context)
     context.stopping.connect(context)
     wait_for(
@@ -137,39 +139,39 @@
     )
 
 
-@when("a caller sends a request, and the entry is told to stop")
+@when("a caller sends a request, and the entry gets the stop signal")
 def step_stop(context):
     context.stopping.caller.sendall(REQUEST)
-    assert context.stopping.held.wait(WAIT_S)
+    assert context.stopping.paused.wait(WAIT_S)
     context.stopping.stop()
 
 
-@when("the entry is told to stop, and its time to turn callers away has passed")
+@when("the entry gets the stop signal, and stops accepting requests")
 def step_stop_idle(context):
     context.stopping.stop()
 
 
-@then("the entry is still there when its time to turn callers away has passed")
-def step_stays(context):
-    assert context.stopping.stays(), "it has ended"
+@then("the entry is still running after it stopped accepting requests")
+def step_keeps_running(context):
+    assert context.stopping.keeps_running(), "it has exited"
 
 
-@when("its server goes on")
-def step_go(context):
-    context.stopping.go.set()
+@when("its server continues")
+def step_continue(context):
+    context.stopping.may_continue.set()
 
 
-@then("the caller gets its whole stream, and the entry ends")
-def step_whole_and_ended(context):
+@then("the caller gets its complete stream, and the entry exits")
+def step_complete_and_exited(context):
     answer = b""
     while not answer.endswith(LAST_CHUNK):
         data = context.stopping.caller.recv(4096)
         assert data, answer
         answer += data
     assert b"\r\n5\r\nwhole\r\n" in answer, answer
-    assert context.stopping.ended.wait(WAIT_S)
+    assert context.stopping.exited.wait(WAIT_S)
 
 
-@then("the entry ends")
-def step_ends(context):
-    assert context.stopping.ended.wait(WAIT_S)
+@then("the entry exits")
+def step_exits(context):
+    assert context.stopping.exited.wait(WAIT_S)
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -2,20 +2,20 @@
 
 from behave import given, then
 
-from lavenderspoke.observing.metrics import OTHER, LatencyKey, Metrics
+from lavenderspoke.observing.metrics import OTHER_LABEL, LatencyKey, Metrics
 
 
 @given('metrics with 3 refusals for "{reason}" and latencies of 10, 20 and 30 ms')
 def step_metrics(context, reason):
     context.metrics = Metrics()
     context.metrics.count("refusals", reason, 3)
-    context.metrics.gauge("waiting", 7)
+    context.metrics.set_gauge("waiting", 7)
     for latency_s in (0.010, 0.020, 0.030):
         context.metrics.observe("answer", "narrative", "alerts", latency_s)
 
 
 @given("metrics with a counter whose reason holds quotes and line breaks")
-def step_forged(context):
+def step_injected(context):
     context.metrics = Metrics()
     context.metrics.count("refusals", 'x"} 1\nforged{a="')
 
@@ -70,14 +70,14 @@
     assert len(snapshot["counters"]["refusals"]) <= counters
 
 
-@then("nothing that was counted is missing")
+@then("no count is missing")
 def step_nothing_missing(context):
     snapshot = context.metrics.snapshot()
     assert sum(snapshot["counters"]["refusals"].values()) == 3000
     assert sum(each["count"] for each in snapshot["latencies"]) == 1000
-    assert context.metrics.counter("refusals", OTHER) > 0
+    assert context.metrics.counter_value("refusals", OTHER_LABEL) > 0
 
 
 @then("the counter reads {count:d}")
 def step_counter_reads(context, count):
-    assert context.metrics.counter("refusals", "shed") == count
+    assert context.metrics.counter_value("refusals", "shed") == count
--- a/features/steps/pacing_steps.py
+++ b/features/steps/pacing_steps.py
@@ -1,8 +1,8 @@
 from behave import given, then, when
 
-from lavenderspoke.capacity.concurrency import WINDOW, ConcurrencyLimit
-from lavenderspoke.capacity.learnedlimit import LearnedLimit
-from lavenderspoke.capacity.straggler import PullCaution, StragglerDetector
+from lavenderspoke.capacity.adaptivelimit import AdaptiveLimit
+from lavenderspoke.capacity.concurrency import WINDOW_SAMPLES, ConcurrencyLimit
+from lavenderspoke.capacity.straggler import StragglerDetector, StragglerPullPolicy
 from lavenderspoke.retrybudget import RetryAllowance, RetryBudget
 
 
@@ -18,8 +18,8 @@
 
 @when("{count:d} windows show first tokens after {latency:g} s at the limit")
 def step_windows(context, count, latency):
-    for _ in range(count * WINDOW):
-        context.limit.first_token(latency, context.limit.limit)
+    for _ in range(count * WINDOW_SAMPLES):
+        context.limit.record_first_token(latency, context.limit.limit)
 
 
 @when(
@@ -27,23 +27,23 @@
     " but one after {long:g} s"
 )
 def step_windows_long(context, count, latency, long):
-    for number in range(count * WINDOW):
-        sample_s = latency if number % (2 * WINDOW) else long
-        context.limit.first_token(sample_s, context.limit.limit)
+    for number in range(count * WINDOW_SAMPLES):
+        sample_s = latency if number % (2 * WINDOW_SAMPLES) else long
+        context.limit.record_first_token(sample_s, context.limit.limit)
 
 
 @when(
     "{count:d} windows show first tokens after {latency:g} s with {running:d} running"
 )
 def step_windows_running(context, count, latency, running):
-    for _ in range(count * WINDOW):
-        context.limit.first_token(latency, running)
+    for _ in range(count * WINDOW_SAMPLES):
+        context.limit.record_first_token(latency, running)
 
 
 @when("{count:d} steps of {step:g} s are measured by the limit")
 def step_limit_steps(context, count, step):
     for _ in range(count):
-        context.limit.step(step)
+        context.limit.record_step(step)
 
 
 @then("the limit is {expected:d}")
@@ -56,41 +56,41 @@
     assert 1 <= context.limit.limit < bound, context.limit.limit
 
 
-@given("a learned limit that has seen first tokens after {latency:g} s")
-def step_learned(context, latency):
-    context.learned, context.now_s = LearnedLimit(slots_max=8), 0.0
-    for number in range(WINDOW):
-        context.learned.started(str(number), context.now_s)
+@given("an adaptive limit that has measured first tokens after {latency:g} s")
+def step_adaptive(context, latency):
+    context.adaptive, context.now_s = AdaptiveLimit(slots_max=8), 0.0
+    for number in range(WINDOW_SAMPLES):
+        context.adaptive.started(str(number), context.now_s)
         context.now_s += latency
-        context.learned.piece(str(number), context.now_s)
-        context.learned.finished(str(number), context.now_s)
+        context.adaptive.piece_received(str(number), context.now_s)
+        context.adaptive.finished(str(number), context.now_s)
 
 
 @when("a request begins and {seconds:g} s pass")
-def step_learned_begins(context, seconds):
-    context.learned.started("long", context.now_s)
-    step_learned_pass(context, seconds)
+def step_adaptive_begins(context, seconds):
+    context.adaptive.started("long", context.now_s)
+    step_adaptive_pass(context, seconds)
 
 
 @when("{seconds:g} s pass")
-def step_learned_pass(context, seconds):
+def step_adaptive_pass(context, seconds):
     context.now_s += seconds
-    context.learned.tick(context.now_s)
+    context.adaptive.tick(context.now_s)
 
 
-@when("its first token comes")
-def step_learned_token(context):
-    context.learned.piece("long", context.now_s)
+@when("its first token arrives")
+def step_adaptive_token(context):
+    context.adaptive.piece_received("long", context.now_s)
 
 
-@then("there is room beside it")
-def step_learned_room(context):
-    assert context.learned.slots > 1
+@then("there are free slots besides it")
+def step_adaptive_free(context):
+    assert context.adaptive.slots > 1
 
 
-@then("there is no room beside it")
-def step_learned_full(context):
-    assert context.learned.slots == 1
+@then("there are no free slots besides it")
+def step_adaptive_full(context):
+    assert context.adaptive.slots == 1
 
 
 @given("a straggler detector")
@@ -114,34 +114,34 @@
     for _ in range(count):
         context.now_s += step
         if context.peers_s is not None:
-            context.detector.peer("other", context.peers_s, context.now_s)
-        context.detector.step(step, now_s=context.now_s)
+            context.detector.record_peer_step("other", context.peers_s, context.now_s)
+        context.detector.record_step(step, now_s=context.now_s)
 
 
 @when("{seconds:g} s pass with {running:d} requests running")
 def step_stall(context, seconds, running):
-    context.detector.started(running, context.now_s)
+    context.detector.set_running(running, context.now_s)
     context.now_s += seconds
 
 
 @then("it is a straggler")
 def step_is_straggler(context):
-    assert context.detector.straggling(context.now_s)
+    assert context.detector.is_straggling(context.now_s)
 
 
 @then("it is no straggler")
 def step_is_no_straggler(context):
-    assert not context.detector.straggling(context.now_s)
+    assert not context.detector.is_straggling(context.now_s)
 
 
-@given("a pull caution")
-def step_caution(context):
-    context.caution = PullCaution()
+@given("a straggler pull policy")
+def step_pull_policy(context):
+    context.pull_policy = StragglerPullPolicy()
 
 
 def allows(context, which, now_s):
     waiting = {1: 5, 3: 2} if which == "the highest tier" else {1: 5}
-    return context.caution.allows(
+    return context.pull_policy.allows_pull(
         straggling=True, waiting=waiting, highest_rank=3, now_s=now_s
     )
 
@@ -169,13 +169,13 @@
     for number in range(count):
         context.now_s += seconds / count
         if number < firsts:
-            context.allowance.first_try(context.now_s)
+            context.allowance.record_first_attempt(context.now_s)
         if number < retries:
-            context.allowed += context.allowance.spend(context.now_s)
+            context.allowed += context.allowance.try_spend(context.now_s)
 
 
 @when("{seconds:g} s pass without tries")
-def step_quiet(context, seconds):
+def step_no_tries(context, seconds):
     context.now_s += seconds
 
 
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps about entries that read the platform's store for each other."""
+"""Steps about entries that relay records of the platform's store."""
 
 import heapq
 import itertools
@@ -8,11 +8,16 @@
 from behave import given, step, then, when
 from result import Err, Ok
 
-from lavenderspoke.direct.feed import CALLS, CallReason
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.feed import STORE_CALLS, CallReason
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import RecordsAsked, RecordsTold
-from lavenderspoke.direct.records import Forgotten, KeyedRecord, Records, StoreError
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.records import (
+    KeyedRecord,
+    OffsetExpired,
+    RecordBatch,
+    StoreError,
+)
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.feeds import (
@@ -25,35 +30,40 @@
 from lavenderspoke.platform.store import ANSWER_S
 from standins.platformdeployment import configuration, route
 
+# As in an entry with the default bounds, in seconds.
 KEY_AGE_MAX_S = 4.6
 DRAIN_S = 2.0
 APPLY_S = 2.0
+# Duration of a store call, in seconds.
 CALL_S = 0.01
+# Interval at which the entries' state is sampled, in seconds.
 STEP_S = 0.05
 
 
-class World:
-    """Entries and a store on one clock."""
+class Simulation:
+    """Entries and a fake store on a simulated clock."""
 
     def __init__(self, *, entries: int, feed: str):
         self.now_s = 0.0
         self.topics: dict[str, list[KeyedRecord]] = {}
-        self.forgotten_before = 0
-        self.turned_away: set[str] = set()
-        self.cut_off: set[str] = set()
-        self.unanswered: set[str] = set()
-        self.stuck: set[str] = set()
+        self.expired_before = 0
+        # Names of entries. Store calls of rejected ones fail, those of entries that it
+        # is unresponsive to do so only after a timeout; feeds of hanging ones stop.
+        self.rejected: set[str] = set()
+        self.disconnected: set[str] = set()
+        self.unresponsive_to: set[str] = set()
+        self.hanging: set[str] = set()
         self.calls: dict[str, int] = {}
-        self.largest_bytes = 0
+        self.largest_reply_bytes = 0
         self.entries = {}
         self._events: list = []
         self._numbers = itertools.count()
         names = [f"entry-{n}" for n in range(entries)]
         for name in names:
             self.calls[name] = 0
-            self.entries[name] = DrivenEntry(world=self, name=name, feed=feed)
+            self.entries[name] = SimulatedEntry(world=self, name=name, feed=feed)
         for number, name in enumerate(names):
-            self.at(number * 0.03, self.entries[name].turn)
+            self.at(number * 0.03, self.entries[name].run)
 
     def monotonic_s(self) -> float:
         return self.now_s
@@ -73,29 +83,29 @@
         data = None if value is None else json.dumps(value).encode()
         records.append(KeyedRecord(key=key, value=data, offset=len(records)))
         for entry in self.entries.values():
-            entry.end_wait()
+            entry.end_long_poll()
 
     def send(self, sender: str, name: str, message) -> None:
         if isinstance(message, RecordsTold):
             size = sum(len(value or b"") for _, value, _ in message.records)
-            self.largest_bytes = max(self.largest_bytes, size)
-        if not {sender, name} & self.cut_off:
+            self.largest_reply_bytes = max(self.largest_reply_bytes, size)
+        if not {sender, name} & self.disconnected:
             who = InstanceId(name=sender, incarnation="1")
-            self.entries[name].relay.heard(who, message)
+            self.entries[name].relay.handle_message(who, message)
             self.entries[name].end_pause()
 
 
 class FakeStore:
-    """The store as one entry reaches it."""
+    """The store as one entry sees it."""
 
-    def __init__(self, *, world: World, name: str):
+    def __init__(self, *, world: Simulation, name: str):
         self._world = world
         self._name = name
 
     def _call(self) -> StoreError | None:
         self._world.calls[self._name] += 1
-        away = self._name in self._world.turned_away | self._world.cut_off
-        return StoreError(detail="turned away") if away else None
+        is_rejected = self._name in self._world.rejected | self._world.disconnected
+        return StoreError(detail="rejected") if is_rejected else None
 
     def newest(self, topic: str):
         if error := self._call():
@@ -103,40 +113,43 @@
         records = self._world.topics.get(topic, [])
         newest = {record.key: record for record in records}
         present = tuple(r for r in newest.values() if r.value is not None)
-        return Ok(Records(records=present, next_offset=len(records)))
+        return Ok(RecordBatch(records=present, next_offset=len(records)))
 
     def read(self, topic: str, from_offset: int, *, wait_s: float):
         if error := self._call():
             return Err(error)
-        if from_offset < self._world.forgotten_before:
-            return Ok(Forgotten(first_offset=self._world.forgotten_before))
+        if from_offset < self._world.expired_before:
+            return Ok(OffsetExpired(first_offset=self._world.expired_before))
         records = self._world.topics.get(topic, [])
         return Ok(
-            Records(records=tuple(records[from_offset:]), next_offset=len(records))
+            RecordBatch(records=tuple(records[from_offset:]), next_offset=len(records))
         )
 
 
-class DrivenEntry:
-    """One entry's feed, turned by the world; a read that waits ends when it may."""
+class SimulatedEntry:
+    """One entry's feed, run by the simulated clock.
+
+    A long poll ends early when a record is appended.
+    """
 
-    def __init__(self, *, world: World, name: str, feed: str):
+    def __init__(self, *, world: Simulation, name: str, feed: str):
         self.name = name
         self.upstreams: tuple = ()
-        self.in_force = InForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
+        self.in_force = CatalogInForce(clock=world, key_age_max_s=KEY_AGE_MAX_S)
         self.metrics = Metrics()
         self._world = world
-        self._turning = False
-        self._turns = 0
-        self._held = False
+        self._running = False
+        self._run_count = 0
+        self._in_long_poll = False
         self.relay = Relay(
-            peering=Peering(
+            peers=PeerAccess(
                 name=name,
-                heard=lambda: [
+                live_peer_names=lambda: [
                     n
                     for n in world.entries
-                    if n != name and not {n, name} & world.cut_off
+                    if n != name and not {n, name} & world.disconnected
                 ],
-                tell=lambda peer, message: world.send(name, peer, message),
+                send=lambda peer, message: world.send(name, peer, message),
             ),
             clock=world,
             random=Random(name),
@@ -173,73 +186,72 @@
         self.upstreams = upstreams
 
     def end_pause(self) -> None:
-        """Take the next turn at once if the feed's thread would be woken."""
-        if self._turning or not self.feed._wake.is_set():
+        """Run the feed at once if its thread would be woken."""
+        if self._running or not self.feed._wake.is_set():
             return
         self.feed._wake.clear()
-        self._turn_in(CALL_S)
+        self._run_in(CALL_S)
 
-    def end_wait(self) -> None:
-        """Read again at once if the store holds a read back: there is news."""
-        if self._held:
-            self._turn_in(CALL_S)
+    def end_long_poll(self) -> None:
+        """Read again at once if a long poll is open: there is a new record."""
+        if self._in_long_poll:
+            self._run_in(CALL_S)
 
-    def _turn_in(self, seconds: float) -> None:
-        self._turns += 1
-        number = self._turns
+    def _run_in(self, seconds: float) -> None:
+        # A newly scheduled run replaces an earlier one.
+        self._run_count += 1
+        number = self._run_count
         self._world.at(
             self._world.now_s + seconds,
-            lambda: self.turn() if number == self._turns else None,
+            lambda: self.run() if number == self._run_count else None,
         )
 
-    def turn(self) -> None:
-        if self.name in self._world.stuck:
+    def run(self) -> None:
+        if self.name in self._world.hanging:
             return
         calls = self._world.calls[self.name]
-        self._turning = True
-        pause_s = self.feed.turn()
+        self._running = True
+        pause_s = self.feed.run_once()
         read = self._world.calls[self.name] > calls
-        # The fake answers at once where the store would hold a read back.
-        held_s = self.feed._wait_s() if read else 0.0
-        self._held = held_s > 0.0
-        if read and self.name in self._world.unanswered:
-            self._world.at(
-                self._world.now_s + ANSWER_S, lambda: self._end_turn(pause_s)
-            )
+        # The fake responds at once where the store would hold the read.
+        held_s = self.feed._long_poll_s() if read else 0.0
+        self._in_long_poll = held_s > 0.0
+        if read and self.name in self._world.unresponsive_to:
+            self._world.at(self._world.now_s + ANSWER_S, lambda: self._end_run(pause_s))
         else:
-            self._end_turn(pause_s + held_s)
+            self._end_run(pause_s + held_s)
 
-    def _end_turn(self, pause_s: float) -> None:
-        self._turning = False
+    def _end_run(self, pause_s: float) -> None:
+        self._running = False
         if self.feed._wake.is_set():
             self.feed._wake.clear()
             pause_s = 0.0
-        self._turn_in(max(CALL_S, pause_s))
+        self._run_in(max(CALL_S, pause_s))
 
 
 @given("{count:d} entries before a store with a configuration")
 def step_configured(context, count):
-    context.world = World(entries=count, feed="configuration")
+    context.world = Simulation(entries=count, feed="configuration")
     context.world.append(CONFIGURATION_TOPIC, "config", configuration(1))
 
 
 @given("{count:d} entries before a store with upstreams a and b")
 def step_upstreams(context, count):
-    context.world = World(entries=count, feed="upstreams")
+    context.world = Simulation(entries=count, feed="upstreams")
     for name in ("a", "b"):
         register(context.world, name)
 
 
 @step("the entries follow it for {seconds:d} s")
-def step_pass(context, seconds):
+def step_follow(context, seconds):
     context.world.run(seconds)
 
 
-@then("all have it in force and may honour keys")
+@then("all have it in force and accept keys")
 def step_all_fresh(context):
     for entry in context.world.entries.values():
         assert entry.in_force.catalog.version == 1
-        assert entry.in_force.fresh(), entry.name
+        assert entry.in_force.is_fresh(), entry.name
 
 
 @then(
@@ -253,19 +265,19 @@
 
 
 @when("the operator writes version {version:d}, and {seconds:g} s pass")
-def step_version(context, version, seconds):
+def step_write_version(context, version, seconds):
     content = configuration(version)
     context.world.append(CONFIGURATION_TOPIC, "config", content)
     context.world.run(seconds)
 
 
-@then("each entry counted all its calls of the store, and why: {reasons}")
+@then("each entry counted all its store calls by reason: {reasons}")
 def step_counted(context, reasons):
     seen = set()
     for name, entry in context.world.entries.items():
         counts = {
-            reason.value: entry.metrics.counter(
-                CALLS, f"{entry.feed.topic}:{reason.value}"
+            reason.value: entry.metrics.counter_value(
+                STORE_CALLS, f"{entry.feed.topic}:{reason.value}"
             )
             for reason in CallReason
         }
@@ -274,26 +286,26 @@
     assert seen == set(reasons.split(", ")), seen
 
 
-@when("the reads of the first {count:d} entries get stuck")
-def step_stuck(context, count):
-    context.world.stuck = set(list(context.world.entries)[:count])
+@when("the store reads of the first {count:d} entries hang")
+def step_reads_hang(context, count):
+    context.world.hanging = set(list(context.world.entries)[:count])
 
 
-@when("the operator writes a version each {gap_s:g} s from {first:d} to {last:d}")
-def step_succession(context, gap_s, first, last):
-    succession(context, gap_s, first, last)
+@when("the operator writes a version every {gap_s:g} s from {first:d} to {last:d}")
+def step_write_versions(context, gap_s, first, last):
+    write_versions(context, gap_s, first, last)
 
 
 @when(
-    "the operator writes a version with {count:d} routes each {gap_s:g} s "
+    "the operator writes a version with {count:d} routes every {gap_s:g} s "
     "from {first:d} to {last:d}"
 )
-def step_large_succession(context, count, gap_s, first, last):
+def step_write_large_versions(context, count, gap_s, first, last):
     routes = [route(f"r{n}", "idempotent", "desk") for n in range(count)]
-    succession(context, gap_s, first, last, routes)
+    write_versions(context, gap_s, first, last, routes)
 
 
-def succession(context, gap_s, first, last, routes=None) -> None:
+def write_versions(context, gap_s, first, last, routes=None) -> None:
     world = context.world
     context.written_s, context.in_force_s = {}, {}
     for version in range(first, last + 1):
@@ -301,6 +313,7 @@
             world.now_s + (version - first) * gap_s,
             lambda version=version: write_version(context, version, routes),
         )
+    # Goes on after the last version for longer than the scenarios' limits.
     for _ in range(round(((last - first) * gap_s + 3.0) / STEP_S)):
         world.run(STEP_S)
         for name, entry in world.entries.items():
@@ -329,85 +342,89 @@
     "the operator writes version {version:d} with {count:d} routes, "
     "and {seconds:g} s pass"
 )
-def step_large(context, version, count, seconds):
+def step_write_large_version(context, version, count, seconds):
     routes = [route(f"r{n}", "idempotent", "desk") for n in range(count)]
     content = configuration(version, routes=routes)
     context.world.append(CONFIGURATION_TOPIC, "config", content)
     context.world.run(seconds)
 
 
-@then("no entry sent another more than {kilobytes:d} KB")
-def step_largest(context, kilobytes):
-    assert context.world.largest_bytes <= kilobytes * 1024
+@then("no reply held more than {kilobytes:d} KB of values")
+def step_reply_size(context, kilobytes):
+    assert context.world.largest_reply_bytes <= kilobytes * 1024
 
 
-@then("the entries that asked called the store at most {most:d} times each")
-def step_asked_calls(context, most):
+@then("each follower called the store at most {most:d} times")
+def step_follower_calls(context, most):
     calls = context.world.calls
     assert all(calls[f"entry-{n}"] <= most for n in range(2, 6)), calls
 
 
-@then("version {version:d} is in force at all")
+@then("version {version:d} is in force at all entries")
 def step_version_all(context, version):
     for entry in context.world.entries.values():
         assert entry.in_force.catalog.version == version, entry.name
 
 
-@when("the store turns away the first {count:d} entries for {seconds:d} s")
-def step_turned_away(context, count, seconds):
+@when(
+    "the store rejects the first {count:d} entries from now on, and {seconds:d} s pass"
+)
+def step_reject_first(context, count, seconds):
     world = context.world
-    world.turned_away = set(list(world.entries)[:count])
+    world.rejected = set(list(world.entries)[:count])
     context.stale = set()
     for _ in range(round(seconds / STEP_S)):
         world.run(STEP_S)
-        context.stale |= {n for n, e in world.entries.items() if not e.in_force.fresh()}
+        context.stale |= {
+            n for n, e in world.entries.items() if not e.in_force.is_fresh()
+        }
 
 
-@when("the store turns away the last {count:d} entries from now on")
-def step_turned_away_on(context, count):
-    context.world.turned_away = set(list(context.world.entries)[-count:])
+@when("the store rejects the last {count:d} entries from now on")
+def step_reject_last(context, count):
+    context.world.rejected = set(list(context.world.entries)[-count:])
 
 
-@when("the store gives the last {count:d} entries no answer from now on")
-def step_unanswered(context, count):
-    step_turned_away_on(context, count)
-    context.world.unanswered = context.world.turned_away
+@when("the store never responds to the last {count:d} entries from now on")
+def step_never_responds(context, count):
+    step_reject_last(context, count)
+    context.world.unresponsive_to = context.world.rejected
 
 
-@then("all may honour keys all the while")
+@then("all accepted keys throughout")
 def step_never_stale(context):
     assert not context.stale, context.stale
 
 
-@then("nobody may honour keys")
+@then("no entry accepts keys")
 def step_all_stale(context):
     for entry in context.world.entries.values():
-        assert not entry.in_force.fresh(), entry.name
+        assert not entry.in_force.is_fresh(), entry.name
 
 
-@when("an entry that is cut off from all hears an answer {seconds:d} s after it asked")
-def step_late_answer(context, seconds):
+@when("a disconnected entry receives a reply {seconds:d} s after its query")
+def step_late_reply(context, seconds):
     world = context.world
     context.entry = entry = world.entries["entry-5"]
-    asked = RecordsAsked(
+    query = RecordsAsked(
         topic=CONFIGURATION_TOPIC,
-        from_offset=entry.feed.shelf.next_offset,
+        from_offset=entry.feed.cache.next_offset,
         asked_s=world.now_s,
     )
-    told = world.entries["entry-0"].feed.shelf.told(asked, world.now_s)
-    world.cut_off = {entry.name}
+    reply = world.entries["entry-0"].feed.cache.reply_to(query, world.now_s)
+    world.disconnected = {entry.name}
     world.run(seconds)
     peer = InstanceId(name="entry-0", incarnation="1")
-    entry.relay.heard(peer, told)
+    entry.relay.handle_message(peer, reply)
 
 
-@then("that entry may not honour keys")
+@then("that entry doesn't accept keys")
 def step_entry_stale(context):
-    assert not context.entry.in_force.fresh()
+    assert not context.entry.in_force.is_fresh()
 
 
-@when("an entry hears an answer from before version 2, which it has in force")
-def step_older_answer(context):
+@when("an entry with version 2 in force receives an older reply with version 1")
+def step_older_reply(context):
     world = context.world
     entry = context.entry = world.entries["entry-5"]
     old = RecordsTold(
@@ -418,24 +435,24 @@
         whole=True,
         records=(("config", json.dumps(configuration(1)).encode(), 0),),
     )
-    step_version(context, 2, 2.0)
-    entry.relay.heard(InstanceId(name="entry-0", incarnation="1"), old)
+    step_write_version(context, 2, 2.0)
+    entry.relay.handle_message(InstanceId(name="entry-0", incarnation="1"), old)
     context.version_age_s = entry.in_force.age_s()
 
 
-@then("version 2 stays in force there")
-def step_stays(context):
+@then("version 2 stays in force at that entry")
+def step_version_stays(context):
     assert context.entry.in_force.catalog.version == 2
 
 
-@when("upstream a is dropped, and the store forgets everything up to now")
-def step_dropped_and_forgotten(context):
+@when("upstream a is deleted, and the store expires all records so far")
+def step_deleted_and_expired(context):
     world = context.world
     world.append(UPSTREAMS_TOPIC, "a", None)
-    world.forgotten_before = len(world.topics[UPSTREAMS_TOPIC])
+    world.expired_before = len(world.topics[UPSTREAMS_TOPIC])
 
 
-def register(world: World, name: str) -> None:
+def register(world: Simulation, name: str) -> None:
     record = {
         "service": "s",
         "address": "127.0.0.1:1",
@@ -447,12 +464,12 @@
 
 
 @when(
-    "the store is away for {away:d} s, drops both, and has them again "
-    "{again:d} s after its return"
+    "the store is down for {down_s:d} s, both records expire, and are back "
+    "{register_after_s:d} s after it recovers"
 )
-def step_away(context, away, again):
+def step_store_down(context, down_s, register_after_s):
     world = context.world
-    world.turned_away = set(world.entries)
+    world.rejected = set(world.entries)
     context.known = []
 
     def run(seconds: float) -> None:
@@ -460,42 +477,43 @@
             world.run(STEP_S)
             context.known += [len(e.upstreams) for e in world.entries.values()]
 
-    run(away)
+    run(down_s)
     for name in ("a", "b"):
         world.append(UPSTREAMS_TOPIC, name, None)
-    world.turned_away = set()
-    run(again)
+    world.rejected = set()
+    run(register_after_s)
     for name in ("a", "b"):
         register(world, name)
     run(3.0)
 
 
-@then("all entries knew a and b all the while")
+@then("all entries knew a and b throughout")
 def step_knew(context):
     assert set(context.known) == {2}, sorted(set(context.known))
 
 
-@when("the store turns one that reads away, and upstream a is dropped")
-def step_away_and_dropped(context):
-    # One of those that read: the others would not notice.
-    context.world.turned_away = {"entry-0"}
+@when("the store rejects one reader, and upstream a is deleted")
+def step_rejected_and_deleted(context):
+    # entry-0 is a reader; a rejected follower would go on with the readers' replies.
+    context.world.rejected = {"entry-0"}
     context.world.run(3.0)
     context.world.append(UPSTREAMS_TOPIC, "a", None)
 
 
 @when(
-    "{count:d} other upstreams come and go, upstream a too, while one entry is cut off"
+    "{count:d} other upstreams come and go, and a is deleted, while one entry is "
+    "disconnected"
 )
-def step_many_dropped(context, count):
+def step_many_deleted(context, count):
     world = context.world
-    world.cut_off = {"entry-5"}
+    world.disconnected = {"entry-5"}
     for number in range(count):
         register(world, f"other-{number}")
         world.append(UPSTREAMS_TOPIC, f"other-{number}", None)
     world.append(UPSTREAMS_TOPIC, "a", None)
     world.run(5.0)
-    # It hears the others again, but the store still turns it away.
-    world.cut_off, world.turned_away = set(), {"entry-5"}
+    # entry-5 reaches the other entries again, but not the store.
+    world.disconnected, world.rejected = set(), {"entry-5"}
 
 
 @then("within {seconds:d} s all entries know only b")
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -1,4 +1,4 @@
-"""Steps about upstreams that start again, and about records of other writers."""
+"""Steps about upstreams that restart, and about records of other writers."""
 
 import json
 import threading
@@ -13,15 +13,15 @@
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import ManualClock, SystemClock
 from lavenderspoke.codec import Codec
-from lavenderspoke.direct.exchange import Sending
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.exchange import RequestHandle
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import DirectMessage
-from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.pool import Demand
-from lavenderspoke.direct.records import KeyedRecord, Records
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.office import DirectDispatcher
+from lavenderspoke.direct.pool import Requirements
+from lavenderspoke.direct.records import KeyedRecord, RecordBatch
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.direct.settings import Bounds
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
 from lavenderspoke.direct.verdicts import RESTART_SETTLED_S
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.platform.feeds import (
@@ -52,12 +52,12 @@
     return KeyedRecord(key=key, value=content, offset=offset)
 
 
-def tell(context, born: int) -> None:
-    """Have the entry read the upstream's record of that start."""
+def read_record_of(context, born: int) -> None:
+    """Have the entry read the upstream's record of that incarnation."""
     context.offset += 1
     content = value(port=context.raw.port, host=HOST, born=born)
     context.registry.apply((record("u", context.offset, content),), 0.0)
-    context.office.upstreams_changed(context.registry.upstreams(0.0))
+    context.dispatcher.upstreams_changed(context.registry.upstreams(0.0))
 
 
 def upstream(context):
@@ -65,74 +65,74 @@
     return listed
 
 
-def seat(context):
-    line = context.office._scheduler.line(SERVICE)
-    return line.pool.seat(upstream(context).upstream_id)
+def upstream_state(context):
+    line = context.dispatcher._scheduler.queue(SERVICE)
+    return line.pool.state_of(upstream(context).upstream_id)
 
 
-@given('an entry that knows upstream "u" since start {born:d}')
+@given('an entry that knows incarnation {born:d} of upstream "u"')
 def step_entry(context, born):
     context.clock = ManualClock()
     context.offset = 0
     context.raw = RawUpstream(answer=b"", then="keeps")
     context.add_cleanup(context.raw.close)
     context.registry = Registry()
-    context.office = Office(
+    context.dispatcher = DirectDispatcher(
         name="entry-1",
-        whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+        location=EntryLocation(address="tcp://127.0.0.1:1"),
         bounds=Bounds(),
         clock=context.clock,
         random=Random(1),
         metrics=Metrics(),
     )
-    tell(context, born)
+    read_record_of(context, born)
 
 
 @given("it is slow, has failed, and one request runs there")
 def step_learned(context):
     context.before = upstream(context)
-    seat(context).health.stepped(0.9)
-    seat(context).health.unreachable(0.0)
-    seat(context).own["r"] = 100
+    upstream_state(context).health.record_step(0.9)
+    upstream_state(context).health.record_unreachable(0.0)
+    upstream_state(context).own_requests["r"] = 100
 
 
-@when("the upstream's record tells of start {born:d}")
+@when("the upstream's record names incarnation {born:d}")
 def step_again(context, born):
-    tell(context, born)
+    read_record_of(context, born)
 
 
-@then("the upstream has all its places, no pace and no failure")
+@then("the upstream has all its slots free, and no measured step or failure")
 def step_forgotten(context):
-    fresh = seat(context)
-    assert fresh.room() == 4
-    assert fresh.health.pace_s is None
+    fresh = upstream_state(context)
+    assert fresh.free_slots() == 4
+    assert fresh.health.step_s is None
     assert fresh.health.failure_share == 0.0
     assert fresh.health.usable(0, 0.0)
 
 
-@then("a request that was at the start before may be sent there")
+@then("a request that was at the previous incarnation may be sent there")
 def step_may_be_sent(context):
-    demand = Demand(
+    demand = Requirements(
         prompt_tokens=1,
         answer_tokens=1,
-        first_in_s=1.0,
-        left_s=5.0,
+        first_byte_within_s=1.0,
+        remaining_s=5.0,
         excluded={context.before.upstream_id},
     )
-    pool = context.office._scheduler.line(SERVICE).pool
+    pool = context.dispatcher._scheduler.queue(SERVICE).pool
     choice = pool.choose(demand, now_s=0.0)
-    assert choice.seat.upstream == upstream(context)
+    assert choice.upstream_state.upstream == upstream(context)
 
 
-@given("a request waits for an answer there")
+@given("a request waits for a response there")
 def step_waits(context):
     context.sent = []
-    pool = context.office.connections(upstream(context))
+    pool = context.dispatcher.connection_pool(upstream(context))
 
     def send() -> None:
         context.sent.append(
             pool.send(
-                sending=Sending(),
+                handle=RequestHandle(),
                 method="GET",
                 target="/",
                 headers={"Host": "test"},
@@ -155,67 +155,71 @@
     assert isinstance(sent, Err) and not sent.err_value.timed_out, sent
 
 
-@when('content "{content}" breaks there, and the record tells of start {born:d}')
+@when('content "{content}" breaks there, and the record names incarnation {born:d}')
 def step_crash(context, content, born):
-    crashes = context.office._verdicts.crashes
-    crashes.broke(upstream(context).upstream_id, content, context.clock.monotonic_s())
-    tell(context, born)
+    crashes = context.dispatcher._upstream_monitor.crashes
+    crashes.record_broken_answer(
+        upstream(context).upstream_id, content, context.clock.monotonic_s()
+    )
+    read_record_of(context, born)
     context.clock.advance(RESTART_SETTLED_S + 0.1)
-    context.office.tick()
+    context.dispatcher.tick()
 
 
 @then('content "{content}" is refused')
 def step_refused(context, content):
     now_s = context.clock.monotonic_s()
-    assert context.office._verdicts.crashes.quarantined(SERVICE, content, now_s)
+    assert context.dispatcher._upstream_monitor.crashes.is_quarantined(
+        SERVICE, content, now_s
+    )
 
 
-def starts(registry: Registry) -> list[str]:
+def upstream_ids(registry: Registry) -> list[str]:
     return [each.upstream_id for each in registry.upstreams(0.0)]
 
 
-@then("an earlier start's record changes nothing")
+@then("an earlier incarnation's record changes nothing")
 def step_late(context):
     registry = context.registry = Registry()
     registry.apply((record("a", 1, value(born=2000)),), 0.0)
     registry.apply((record("a", 2, value(born=1000)),), 0.0)
-    assert starts(registry) == ["a@2000"]
+    assert upstream_ids(registry) == ["a@2000"]
     registry.apply((record("a", 3, value(born=2000)),), 0.0)
     registry.apply((record("a", 4, value(born=1000)),), 0.0)
-    assert starts(registry) == ["a@2000"]
+    assert upstream_ids(registry) == ["a@2000"]
 
 
-@then("the same start's second record is believed, since a clock may go back")
+@then("a second record of that incarnation is accepted, since a clock may go back")
 def step_second(context):
     context.registry.apply((record("a", 5, value(born=1000)),), 0.0)
-    assert starts(context.registry) == ["a@1000"]
+    assert upstream_ids(context.registry) == ["a@1000"]
 
 
-@then("none of these names an upstream, and the others stay")
+@then("none of these adds an upstream, and the others stay")
 def step_foreign(context):
     for row in context.table:
         registry = Registry()
         content = row["record"].encode()
         registry.apply((record("a", 1, value()), record("b", 2, content)), 0.0)
-        assert starts(registry) == ["a"], row["record"]
+        assert upstream_ids(registry) == ["a"], row["record"]
 
 
-@then("a state that nobody knows gets no requests")
+@then("an upstream in an unknown state gets no requests")
 def step_state(context):
     registry = Registry()
     registry.apply((record("a", 1, value(state="resting")),), 0.0)
     assert all(each.leaving for each in registry.upstreams(0.0))
 
 
-@then("bytes that nest too deep name no upstream")
+@then("JSON that is nested too deeply adds no upstream")
 def step_deep(context):
     registry = Registry()
     deep = b"[" * 200_000
     registry.apply((record("b", 1, deep), record("a", 2, value())), 0.0)
-    assert starts(registry) == ["a"]
+    assert upstream_ids(registry) == ["a"]
 
 
-@then("a writer that repeats itself is logged once and counted each time")
+@then("repeated bad records are logged once and counted each time")
 def step_repeated(context):
     reasons = []
     registry = Registry(on_skipped=reasons.append)
@@ -231,17 +235,19 @@
 
 def feeds() -> list:
     relay = Relay(
-        peering=Peering(name="e", heard=list, tell=lambda name, message: None),
+        peers=PeerAccess(
+            name="e", live_peer_names=list, send=lambda name, message: None
+        ),
         clock=SystemClock(),
         random=Random(1),
     )
     common = dict(store=NoStore(), clock=SystemClock(), relay=relay, metrics=Metrics())
-    in_force = InForce(clock=SystemClock(), key_age_max_s=4.0)
+    in_force = CatalogInForce(clock=SystemClock(), key_age_max_s=4.0)
     return [
         UpstreamsFeed(drain_s=2.0, on_change=lambda new: None, **common),
         EntriesFeed(
             name="e",
-            whereabouts=Whereabouts(address="tcp://127.0.0.1:1"),
+            location=EntryLocation(address="tcp://127.0.0.1:1"),
             on_change=lambda new: None,
             **common,
         ),
@@ -260,7 +266,9 @@
     ]
 
 
-@then("no bytes given as an upstream's, an entry's or a peer's message raise")
+@then(
+    "no bytes in an upstream's or entry's record or a peer's message raise an exception"
+)
 def step_fuzz(context):
     targets = feeds()
     keys = strategies.sampled_from(["a", "config", "rollout/a"])
@@ -274,11 +282,11 @@
         nonlocal offset
         key, content = drawn
         offset += 1
-        records = Records(
+        records = RecordBatch(
             records=(record(key, offset, content),), next_offset=offset + 1
         )
         for feed in targets:
-            feed.take(records, whole=False, sent_s=0.0)
+            feed.apply(records, is_snapshot=False, sent_s=0.0)
 
     fuzz(strategies.tuples(keys, contents), take)
     codec = Codec(messages=DirectMessage)
--- a/lavenderspoke/agentcore.py
+++ b/lavenderspoke/agentcore.py
@@ -7,10 +7,10 @@
 
 from lavenderspoke import agentevents as events, messages
 from lavenderspoke.agentruns import AgentRuns
-from lavenderspoke.capacity.slots import FixedLimit, Limit
-from lavenderspoke.capacity.straggler import PullCaution
+from lavenderspoke.capacity.limits import FixedLimit, Limit
+from lavenderspoke.capacity.straggler import StragglerPullPolicy
 from lavenderspoke.core import Count, Received, Send, Tick
-from lavenderspoke.dispatching import PUSHED
+from lavenderspoke.dispatching import PUSHED_NONCE_PREFIX
 from lavenderspoke.documents.service import Service
 from lavenderspoke.leaving import Leaving
 from lavenderspoke.ledger import Ledger, Run, Verdict
@@ -84,7 +84,7 @@
         self.listed_leaving = False
         self._lease_until_s = 0.0
         self._accepts_pushed = accepts_pushed
-        self._caution = PullCaution()
+        self._caution = StragglerPullPolicy()
         self._highest_rank = 0
         self._outbox = Outbox(flush_s=times.flush_s)
         self.runs = AgentRuns(
@@ -142,7 +142,7 @@
         self.puller.expire(now_s)
         waiting = self.puller.waiting()
         self.limit.tick(now_s)
-        if not self._caution.allows(
+        if not self._caution.allows_pull(
             straggling=self.limit.straggling,
             waiting=waiting,
             highest_rank=self._highest_rank,
@@ -291,7 +291,7 @@
         return self._accept(message, sender, now_s)
 
     def _refusal(self, grant, sender, verdict: Verdict, now_s) -> str | None:
-        is_pushed = self._accepts_pushed and grant.nonce.startswith(PUSHED)
+        is_pushed = self._accepts_pushed and grant.nonce.startswith(PUSHED_NONCE_PREFIX)
         if not is_pushed and not self.puller.use(
             grant.nonce, sender, grant.call.request_id, now_s
         ):
--- a/lavenderspoke/direct/daemon.py
+++ b/lavenderspoke/direct/daemon.py
@@ -1,4 +1,4 @@
-"""An entry that dispatches directly, put together from its parts."""
+"""The daemon of an entry that uses direct dispatch, composed of its parts."""
 
 import os
 import signal
@@ -15,50 +15,52 @@
 from lavenderspoke.direct.app import DirectApp
 from lavenderspoke.direct.catalog import Catalog
 from lavenderspoke.direct.dialect import Dialect
-from lavenderspoke.direct.inforce import InForce
+from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import RecordsMessage
-from lavenderspoke.direct.office import Office
-from lavenderspoke.direct.opening import Opening
-from lavenderspoke.direct.peerlink import Link, PeerLink
+from lavenderspoke.direct.office import DirectDispatcher
+from lavenderspoke.direct.peerlink import PeerLink, PeerLinkLoader
 from lavenderspoke.direct.readiness import ReadinessServer
-from lavenderspoke.direct.server import CallerPart
+from lavenderspoke.direct.server import DirectServer
 from lavenderspoke.direct.settings import KEY_MARGIN_S, Bounds, DirectSettings
-from lavenderspoke.direct.sharing import Whereabouts
+from lavenderspoke.direct.sharing import EntryLocation
+from lavenderspoke.direct.startuphold import StartupHold
 from lavenderspoke.http.callerwatch import CallerWatch
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.stopsignals import STOP_SIGNALS
 from lavenderspoke.supervisor import Part, Supervisor
 
-# Requests are taken for so long after the signal to stop, in seconds. The balancer
-# asks once a second and turns callers away after two refusals; what comes later
-# than three seconds could not be finished in the grace time if it is long.
-TURNED_AWAY_S = 2.6
-# The stop ends this long, in seconds, before the process would be killed.
+# How long requests are still accepted after the stop signal, in seconds. The load
+# balancer checks readiness once a second and redirects callers after two failures. A
+# long request that arrived after three seconds could not finish within the grace time.
+DRAIN_ACCEPT_S = 2.6
+# Margin between the end of the drain and the kill, in seconds, for the messages that
+# announce the leaving, and the last log lines.
 STOP_MARGIN_S = 0.9
+# Interval at which the drain checks for requests in flight, in seconds.
 DRAIN_POLL_S = 0.05
 
 log = logbook.Logger(__name__)
 
 
 class Feeds(Protocol):
-    """What brings catalog, upstreams and peers from a platform."""
+    """A platform's feeds: the catalog, the upstreams and the other entries."""
 
     def parts(self) -> list[tuple[str, Part]]:
-        """Return the parts that follow the platform."""
+        """Return the supervised parts of the feeds, by name."""
 
-    def heard(self, sender: InstanceId, message: RecordsMessage) -> None:
-        """Take in what another entry asks or tells about the platform's records."""
+    def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
+        """Handle a message from another entry about the platform's records."""
 
     def leave(self) -> None:
-        """Take this entry off the platform's records."""
+        """Remove this entry's record from the platform's store."""
 
 
 class DirectEntry:
-    """One entry.
+    """Builds the parts of one entry, runs them, and drains them at the stop signal.
 
-    `listener` is a socket at which callers may be waiting already. `flush` is called
-    before the process ends by itself, to get the last log lines out.
+    `listener` is a socket on which callers may already be waiting. `flush` is called
+    before the process exits through `os._exit`, to write the last log lines.
     """
 
     def __init__(
@@ -75,124 +77,132 @@
         self.clock = clock
         self.metrics = Metrics()
         self.me = InstanceId(name=settings.name, incarnation=uuid.uuid4().hex)
-        self.whereabouts = Whereabouts(
+        self.location = EntryLocation(
             address=f"tcp://{settings.peers.host}:{settings.peers.port}",
             data_centre=settings.data_centre,
         )
         bounds = settings.bounds
-        self.in_force = InForce(
+        self.in_force = CatalogInForce(
             clock=clock, key_age_max_s=bounds.revoke_s - KEY_MARGIN_S
         )
-        self.office = Office(
+        self.dispatcher = DirectDispatcher(
             name=settings.name,
-            whereabouts=self.whereabouts,
+            location=self.location,
             bounds=bounds,
             clock=clock,
             random=Random(),
             metrics=self.metrics,
         )
-        self._watch = CallerWatch()
-        self._opening = Opening(known=self._knows_enough, clock=clock)
+        self._caller_watch = CallerWatch()
+        self._startup_hold = StartupHold(is_ready=self._has_initial_state, clock=clock)
         self._app = DirectApp(
-            opening=self._opening,
+            startup_hold=self._startup_hold,
             in_force=self.in_force,
-            office=self.office,
+            dispatcher=self.dispatcher,
             dialect=dialect,
-            watch=self._watch,
+            watch=self._caller_watch,
             metrics=self.metrics,
             clock=clock,
         )
-        self._callers = CallerPart(settings=settings, app=self._app, listener=listener)
-        self._readiness = ReadinessServer(
+        self._caller_server = DirectServer(
+            settings=settings, app=self._app, listener=listener
+        )
+        self._readiness_server = ReadinessServer(
             address=settings.readiness, ready=self.ready, metrics=self.metrics
         )
-        self._peers = PeerLink(load=self._load_gossip)
+        self._peer_link = PeerLinkLoader(load=self._load_gossip)
         self._feeds: Feeds | None = None
-        self._told_to_stop = threading.Event()
+        self._stop_requested = threading.Event()
         self._supervisor: Supervisor | None = None
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here.
+        """Return whether callers may be sent to this entry.
 
-        An entry that is ready before the others know of it can't be told what they
-        read: turned away by the store right then, it would refuse all keys as soon
-        as its only read is too old. The platform's list of entries takes some 10 ms
-        more; where it doesn't come, the entry serves without it.
+        The startup hold ends once the list of entries was read, which follows the write
+        of this entry's own record. Before that no peer can relay records to it, and if
+        the store rejected it, it would refuse all API keys as soon as its only read is
+        too old. The list takes about 10 ms more; if it doesn't arrive within the hold,
+        the entry serves without it.
         """
         return (
             not self._app.draining
-            and self._opening.is_over()
+            and self._startup_hold.is_over()
             and self.in_force.catalog is not None
-            and self.in_force.fresh()
-            and self.office.has_upstreams()
+            and self.in_force.is_fresh()
+            and self.dispatcher.has_upstreams()
         )
 
-    def _knows_enough(self) -> bool:
-        """Return whether requests can be decided on, and limits shared."""
+    def _has_initial_state(self) -> bool:
+        """Return whether requests can be dispatched, and limits shared with peers."""
         return (
             self.in_force.catalog is not None
-            and self.office.has_upstreams()
-            and self.office.knows_peers()
+            and self.dispatcher.has_upstreams()
+            and self.dispatcher.knows_peers()
         )
 
     def catalog_changed(self, catalog: Catalog) -> None:
-        """Take over a catalog that has come into force."""
-        self.office.catalog_changed(catalog)
-        self._callers.limit(catalog.limits)
+        """Apply a catalog that came into force."""
+        self.dispatcher.catalog_changed(catalog)
+        self._caller_server.set_limits(catalog.limits)
 
     def reload(self, bounds: Bounds) -> None:
-        """Put changed bounds in force."""
+        """Apply changed bounds, except those that the feeds take at their start."""
         self.in_force.key_age_max_s = bounds.revoke_s - KEY_MARGIN_S
-        self.office.reload(bounds)
+        self.dispatcher.reload(bounds)
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
-        """Send another entry a message about records, if it can be reached."""
-        self._peers.tell(name, message)
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
+        self._peer_link.send_to_peer(name, message)
 
-    def _load_gossip(self) -> Link:
-        # Imported only here: see `PeerLink`.
+    def _load_gossip(self) -> PeerLink:
+        # Imported only here: see `PeerLinkLoader`.
+        from lavenderspoke.direct.dissemination import Dissemination
         from lavenderspoke.direct.gossip import Gossip
-        from lavenderspoke.direct.talk import Talk
 
-        talk = Talk(me=self.me, office=self.office, clock=self.clock)
+        dissemination = Dissemination(
+            me=self.me, dispatcher=self.dispatcher, clock=self.clock
+        )
         return Gossip(
             me=self.me,
             listen=self.settings.peers,
-            office=self.office,
-            talk=talk,
+            dispatcher=self.dispatcher,
+            dissemination=dissemination,
             metrics=self.metrics,
             on_records=self._on_records,
         )
 
     def _on_records(self, sender: InstanceId, message: RecordsMessage) -> None:
         if self._feeds is not None:
-            self._feeds.heard(sender, message)
+            self._feeds.handle_message(sender, message)
 
     def run(self, feeds: Feeds) -> int:
-        """Run until told to stop; return the process's exit status."""
+        """Run until the supervisor ends; return the process's exit status.
+
+        After a stop signal this doesn't return: `_drain` exits the process.
+        """
         self._feeds = feeds
         self._supervisor = Supervisor(
             name="entry",
             parts=[
-                ("readiness", self._readiness),
-                ("watch", self._watch),
+                ("readiness", self._readiness_server),
+                ("watch", self._caller_watch),
                 *feeds.parts(),
-                ("callers", self._callers),
-                ("peers", self._peers),
+                ("callers", self._caller_server),
+                ("peers", self._peer_link),
             ],
             clock=self.clock,
-            # Without its link an entry keeps to its own part of limits; ended, it would
-            # cut off all that it streams.
+            # Without its link an entry can serve, within its own share of the limits.
+            # Giving up because of the link would cut off all its streams.
             dispensable=frozenset({"peers"}),
         )
         log.info("starting", entry=self.me.name, incarnation=self.me.incarnation)
-        # Started before it is needed: the system may refuse a thread by then, and the
-        # stop would be lost with it.
+        # Started early: at the time of the stop signal the system may refuse a new
+        # thread, and the entry would not stop.
         threading.Thread(target=self._drain, name="drain", daemon=True).start()
-        for stop in STOP_SIGNALS:
-            signal.signal(stop, self._on_stop)
-            # One that came while the process was loaded is delivered now.
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, {stop})
+        for stop_signal in STOP_SIGNALS:
+            signal.signal(stop_signal, self._on_stop)
+            # A signal that arrived while the process was loading is delivered now.
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, {stop_signal})
         status = self._supervise()
         log.info("stopped", entry=self.me.name, status=status)
         return status
@@ -201,9 +211,9 @@
         try:
             return self._supervisor.run()
         except Exception:
-            # Returning would wait for threads of the servers, which wait for callers:
-            # the process would stay, and hold its port without serving it.
-            log.exception("the entry can't go on")
+            # Returning would wait for server threads, which wait for callers. The
+            # process would stay and hold its port without serving it.
+            log.exception("supervisor failed, exiting")
             self._flush()
             os._exit(1)
 
@@ -211,25 +221,25 @@
         # A signal handler must return at once.
         if not self._app.draining:
             self._app.draining = True
-            self._told_to_stop.set()
+            self._stop_requested.set()
 
     def _drain(self) -> None:
-        """Once told to, finish what came before the balancer turned away, and stop."""
-        self._told_to_stop.wait()
+        """At the stop signal, finish requests within the grace time, then exit."""
+        self._stop_requested.wait()
         started_s = self.clock.monotonic_s()
-        turned_away_s = started_s + TURNED_AWAY_S
-        latest_s = started_s + self.office.bounds.grace_s - STOP_MARGIN_S
-        log.info("stopping", in_flight=self._callers.in_flight())
+        refuse_from_s = started_s + DRAIN_ACCEPT_S
+        latest_s = started_s + self.dispatcher.bounds.grace_s - STOP_MARGIN_S
+        log.info("stopping", in_flight=self._caller_server.in_flight())
         self._feeds.leave()
         pause = threading.Event()
         while (now_s := self.clock.monotonic_s()) < latest_s:
-            self._app.refusing = now_s >= turned_away_s
-            if self._app.refusing and not self._callers.in_flight():
+            self._app.refusing = now_s >= refuse_from_s
+            if self._app.refusing and not self._caller_server.in_flight():
                 break
             pause.wait(DRAIN_POLL_S)
-        self._peers.stop()
-        log.info("stopped", cut_off=self._callers.in_flight())
-        # What is left are threads that wait on sockets. Joining them takes up to
-        # a second for each server, and the process would be killed meanwhile.
+        self._peer_link.stop()
+        log.info("stopped", cut_off=self._caller_server.in_flight())
+        # The remaining threads wait on sockets. Joining them takes up to a second for
+        # each server, and the process would be killed meanwhile.
         self._flush()
         os._exit(0)
--- a/lavenderspoke/direct/dialect.py
+++ b/lavenderspoke/direct/dialect.py
@@ -1,4 +1,4 @@
-"""What direct dispatch needs to know of a platform's way of speaking HTTP."""
+"""A platform's conventions for HTTP, as far as direct dispatch depends on them."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -6,20 +6,20 @@
 import attrs
 from result import Result
 
-from lavenderspoke.direct.exchange import Exchange
+from lavenderspoke.direct.exchange import UpstreamResponse
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.http.hopbyhop import Headers
 
 
 @attrs.frozen(kw_only=True)
-class CallerHead:
-    """What a caller's request says before its body.
-
-    `target` is the path with its query, untouched. `headers` are those that go
-    on to an upstream. Tokens are None where the request states none, and
-    `deadline_in_s` where it sets no deadline. `output_tokens` is the longest that
-    the answer may become, `expected_tokens` what the caller expects of it.
-    `after_event` is the id of the last event that the caller has, as it sent it.
+class RequestHead:
+    """A caller's request without its body.
+
+    `target` is the path with its query, unchanged. `headers` are those that are
+    forwarded to an upstream. Token counts are None if the request states none, and
+    `deadline_in_s` if it sets no deadline. `max_output_tokens` limits the length of the
+    answer, `expected_output_tokens` is the caller's estimate of it. `last_event_id` is
+    the id of the last event that the caller has received, as sent.
     """
 
     request_id: str
@@ -27,12 +27,12 @@
     target: str
     host: str
     headers: Headers
-    key: str | None = None
+    api_key: str | None = None
     deadline_in_s: float | None = None
     prompt_tokens: int | None = None
-    output_tokens: int | None = None
-    expected_tokens: int | None = None
-    after_event: str | None = None
+    max_output_tokens: int | None = None
+    expected_output_tokens: int | None = None
+    last_event_id: str | None = None
 
     @property
     def path(self) -> str:
@@ -40,35 +40,35 @@
         return self.target.partition("?")[0]
 
     @property
-    def tokens(self) -> int | None:
-        """Prompt and longest answer together, or None where not stated."""
+    def total_tokens(self) -> int | None:
+        """The prompt and the longest answer together, or None if not stated."""
         if self.prompt_tokens is None:
             return None
-        return self.prompt_tokens + (self.output_tokens or 0)
+        return self.prompt_tokens + (self.max_output_tokens or 0)
 
     @property
     def answer_tokens(self) -> int:
-        """The likely length of the answer: what is expected, within what is allowed.
+        """The likely length of the answer: the expected one, at most the longest.
 
-        0 where nothing is said of it.
+        0 if the request states neither.
         """
-        if self.expected_tokens is None:
-            return self.output_tokens or 0
-        if self.output_tokens is None:
-            return self.expected_tokens
-        return min(self.expected_tokens, self.output_tokens)
+        if self.expected_output_tokens is None:
+            return self.max_output_tokens or 0
+        if self.max_output_tokens is None:
+            return self.expected_output_tokens
+        return min(self.expected_output_tokens, self.max_output_tokens)
 
 
 @attrs.frozen(kw_only=True)
-class BadHead:
+class BadRequestHead:
     """A request that can't be handled; `detail` is for its caller."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
-class UpstreamCall:
-    """A call to an upstream that isn't a caller's request."""
+class ControlRequest:
+    """A request that the entry itself makes to an upstream."""
 
     method: str
     target: str
@@ -77,42 +77,44 @@
 
 
 class Dialect(Protocol):
-    """How callers and upstreams of a platform spell things."""
+    """How callers and upstreams of a platform encode requests and responses."""
 
-    def read(
+    def parse_request(
         self, method: str, target: str, headers: Headers
-    ) -> Result[CallerHead, BadHead]:
+    ) -> Result[RequestHead, BadRequestHead]:
         """Decode a caller's request."""
 
     def upstream_headers(
         self,
         *,
-        head: CallerHead,
+        head: RequestHead,
         upstream: Upstream,
         customer: str | None,
-        left_s: float,
-        after_event: str | None,
+        remaining_s: float,
+        last_event_id: str | None,
         reservation: str | None = None,
     ) -> dict[str, str]:
-        """Return the headers for an upstream, where a place may be reserved."""
+        """Return the headers for an upstream, naming a reserved slot if any."""
 
-    def reserves(self, head: CallerHead) -> bool:
-        """Return whether upstreams reserve places for such a request."""
+    def supports_reservation(self, head: RequestHead) -> bool:
+        """Return whether upstreams reserve slots for such a request."""
 
-    def reservation_call(self, *, head: CallerHead, upstream: Upstream) -> UpstreamCall:
-        """Return the call that reserves a place for a request that follows at once."""
+    def reservation_request(
+        self, *, head: RequestHead, upstream: Upstream
+    ) -> ControlRequest:
+        """Return the request that reserves a slot for one that follows at once."""
 
-    def reservation(self, exchange: Exchange, body: bytes) -> str | None:
-        """Return what names the reserved place, or None where there is no room."""
+    def parse_reservation(self, response: UpstreamResponse, body: bytes) -> str | None:
+        """Return the id of the reserved slot, or None if none was reserved."""
 
-    def never_ran(self, exchange: Exchange) -> bool:
+    def is_not_run(self, response: UpstreamResponse) -> bool:
         """Return whether the upstream says that it did not run the request."""
 
-    def misdirected(self, exchange: Exchange) -> bool:
-        """Return whether another upstream answers there than was asked.
+    def is_misdirected(self, response: UpstreamResponse) -> bool:
+        """Return whether an upstream other than the addressed one responded.
 
-        It did not run the request; the one that was asked is no longer there.
+        It did not run the request; the addressed one is no longer there.
         """
 
-    def answers(self, exchange: Exchange, head: CallerHead) -> bool:
-        """Return whether this is the upstream's own answer to that request."""
+    def is_valid_response(self, response: UpstreamResponse, head: RequestHead) -> bool:
+        """Return whether this is the upstream's own response to that request."""
--- /dev/null
+++ b/lavenderspoke/direct/dispatcher.py
@@ -0,0 +1,125 @@
+"""Accepted requests, their results, and what a handler needs of the dispatcher."""
+
+import enum
+from collections.abc import Iterator
+from typing import Protocol
+
+import attrs
+
+from lavenderspoke.direct.catalog import Customer, Route
+from lavenderspoke.direct.dialect import RequestHead
+from lavenderspoke.direct.exchange import ConnectionPool
+from lavenderspoke.direct.instances import Upstream
+from lavenderspoke.direct.tickets import Rank, Ticket
+from lavenderspoke.http.hopbyhop import Headers
+from lavenderspoke.problems import Problem
+
+
+@attrs.frozen(kw_only=True)
+class AcceptedRequest:
+    """A request that may be sent, with all that was decided on arrival.
+
+    `first_arrived_s` is when the caller sent it for the first time, which for a
+    `resubmitted` request is before `arrived_s`. `deadline_s` is the caller's deadline
+    or the end of the route's timeout, whichever comes first.
+    """
+
+    head: RequestHead
+    body: bytes
+    route: Route
+    service: str
+    customer: Customer | None
+    rank: Rank
+    fingerprint: str
+    resubmitted: bool
+    first_arrived_s: float
+    arrived_s: float
+    deadline_s: float
+    version: int
+
+
+@attrs.frozen(kw_only=True)
+class FullResponse:
+    """An upstream's response with its whole body."""
+
+    status: int
+    headers: Headers
+    body: bytes
+
+
+@attrs.frozen(kw_only=True)
+class StreamResponse:
+    """An upstream's stream whose first events have arrived."""
+
+    status: int
+    headers: Headers
+    chunks: Iterator[bytes]
+
+
+HandlerResult = FullResponse | StreamResponse | Problem
+
+
+class AttemptOutcome(enum.Enum):
+    """The result of one attempt at an upstream."""
+
+    ANSWERED = "answered"
+    FAILED = "failed"  # the upstream's own error, or no valid response
+    BROKEN = "broken"  # the connection broke; it may have run
+    SILENT = "silent"  # a read timed out; it may have run
+    UNREACHABLE = "unreachable"  # no connection; it has not run
+    NOT_RUN = "not_run"  # the upstream says that it did not run it
+    MISDIRECTED = "misdirected"  # another upstream responded; it has not run
+    LEFT = "left"  # ended here: the caller has gone, or the deadline expired
+
+
+class RelocationResult(enum.Enum):
+    """The result of an attempt to relocate a request."""
+
+    FOUND = "found"
+    NO_RETRY = "no_retry"
+    NO_PLACE = "no_place"
+    NOT_RESERVED = "not_reserved"  # the other upstream didn't confirm the slot
+    SPOKE = "spoke"  # the silent upstream sent data meanwhile
+
+
+class Dispatcher(Protocol):
+    """What a request handler needs of its entry; thread-safe."""
+
+    def submit(self, ticket: Ticket) -> None:
+        """Queue a request."""
+
+    def withdraw(self, ticket: Ticket) -> bool:
+        """Remove a request from the queue; return False if it wasn't waiting."""
+
+    def first_event_received(self, ticket: Ticket, upstream: Upstream) -> None:
+        """Record that the first event of a stream has arrived."""
+
+    def attempt_ended(
+        self,
+        ticket: Ticket,
+        upstream: Upstream,
+        accepted: AcceptedRequest,
+        outcome: AttemptOutcome,
+    ) -> None:
+        """Release the slot at an upstream and record the attempt's outcome."""
+
+    def release_slot(self, ticket: Ticket, upstream: Upstream) -> None:
+        """Release a slot to which nothing was sent."""
+
+    def connection_pool(self, upstream: Upstream) -> ConnectionPool:
+        """Return the connection pool of an upstream."""
+
+    def take_retry(self, service: str) -> bool:
+        """Take a retry from the service's budget; return False if none is left."""
+
+    def return_retry(self, service: str) -> None:
+        """Return a retry that was taken and not used."""
+
+    def relocation_checked(self, result: RelocationResult) -> None:
+        """Count the result of an attempt to relocate a request."""
+
+    def stream_completed(self, ticket: Ticket, steps: int) -> None:
+        """Record the steps of a complete stream, its first event included."""
+
+    def event_interval_measured(self, upstream: Upstream, step_s: float) -> None:
+        """Record the time between two events of a stream, in seconds."""
--- a/lavenderspoke/direct/feed.py
+++ b/lavenderspoke/direct/feed.py
@@ -1,8 +1,8 @@
-"""A thread that follows one topic of the platform's log.
+"""A consumer thread for one topic of the platform's store.
 
-It reads on from where it was. When the records it wants are gone, it takes the
-newest record of each key and goes on from there. While other entries read the
-store, it asks them instead.
+It reads from its last offset. When that offset has expired, it loads the newest record
+of each key and continues from there. While other entries read the store, it queries
+them instead.
 """
 
 import threading
@@ -12,22 +12,30 @@
 from result import Err
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.records import Forgotten, Records, RecordStore, StoreError
-from lavenderspoke.direct.relay import Relay, Shelf
+from lavenderspoke.direct.records import (
+    OffsetExpired,
+    RecordBatch,
+    RecordStore,
+    StoreError,
+)
+from lavenderspoke.direct.relay import RecordCache, Relay
 from lavenderspoke.observing.metrics import Metrics
 
-# Pause after a call that failed, in seconds.
+# Minimum pause after a failed call, in seconds.
 RETRY_PAUSE_S = 0.2
-CALLS = "store_calls"
+STORE_CALLS = "store_calls"
 
 log = logbook.Logger(__name__)
 
 
 class CallReason(Enum):
-    """Why an entry calls the store in place of asking another entry."""
+    """Why an entry called the store.
+
+    The reasons of reads are chosen by `Feed._read_reason`; OWN_RECORD is a write.
+    """
 
     FIRST = "first"
-    FORGOTTEN = "forgotten"
+    OFFSET_EXPIRED = "forgotten"
     RETRY = "retry"
     ALONE = "alone"
     READER = "reader"
@@ -37,193 +45,199 @@
 
 
 class Feed:
-    """A feed follows one topic on a thread of its own.
+    """Follows one topic on its own thread.
 
-    `stale_s` is how old its knowledge may get, in seconds, before it reads the
-    store although other entries do; `ask_s` is the time between two questions to
-    them. The others are told of `urgent` news at once. `reread_s` is how old the
-    last news may get, in seconds, before it reads those that are too large to be
-    passed on.
+    A follower queries a reader every `query_interval_s` seconds. It reads the store
+    itself once the read behind its records was sent `stale_after_s` seconds ago, or, if
+    newer records are too large to be relayed, once the last read that returned any was
+    sent `reread_after_s` seconds ago. Peers are notified at once of new records of an
+    `urgent` topic. Subclasses set `topic` and these.
     """
 
     topic = ""
     urgent = False
-    stale_s = 0.0
-    ask_s = 0.0
-    reread_s = 0.0
+    stale_after_s = 0.0
+    query_interval_s = 0.0
+    reread_after_s = 0.0
 
     def __init__(
         self, *, store: RecordStore, clock: Clock, relay: Relay, metrics: Metrics
     ):
-        self.shelf = Shelf()
+        self.cache = RecordCache()
         self._store = store
         self._clock = clock
         self._relay = relay
         self._metrics = metrics
-        self._from_newest = True
+        self._needs_snapshot = True
         self._failing = False
-        self._read_next = False
-        # When the read was sent that brought the last records.
-        self._news_s = float("-inf")
-        # Own reads and other entries' answers are taken in on different threads.
-        self._taking = threading.Lock()
+        self._read_scheduled = False
+        # Send time of the last read that returned any records.
+        self._last_records_s = float("-inf")
+        # Store reads and relayed records are applied on different threads.
+        self._apply_lock = threading.Lock()
         self._stopping = threading.Event()
         # Set to end a pause early.
         self._wake = threading.Event()
         self._thread: threading.Thread | None = None
-        relay.serve(self)
+        relay.register(self)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._stopping.clear()
         self._thread = threading.Thread(target=self._run, name=self.topic, daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop after the call under way, without waiting for it."""
+        """Stop after the current call, without waiting for it."""
         self._stopping.set()
         self._wake.set()
 
     def alive(self) -> bool:
-        """Return whether the thread runs, or has ended because it was told to."""
+        """Return whether the thread is running or was stopped by `stop`."""
         if self._stopping.is_set():
             return True
         return self._thread is not None and self._thread.is_alive()
 
     def poll(self) -> bool:
-        """Read once and pass on what came; return whether that was of use."""
+        """Read the store, notify peers of new records; return whether it succeeded."""
         self._count_call(self._read_reason())
-        self._read_next = False
+        self._read_scheduled = False
         sent_s = self._clock.monotonic_s()
-        whole = self._from_newest
-        if whole:
+        is_snapshot = self._needs_snapshot
+        if is_snapshot:
             read = self._store.newest(self.topic)
         else:
-            offset = self.shelf.next_offset
-            read = self._store.read(self.topic, offset, wait_s=self._wait_s())
+            offset = self.cache.next_offset
+            read = self._store.read(self.topic, offset, wait_s=self._long_poll_s())
         if isinstance(read, Err):
-            self._failed(read.err_value)
+            self._note_failure(read.err_value)
             return False
-        self._answered()
-        content = read.ok_value
-        if isinstance(content, Forgotten):
-            log.info("records are gone", topic=self.topic, offset=offset)
-            self._from_newest = True
+        self._note_success()
+        batch = read.ok_value
+        if isinstance(batch, OffsetExpired):
+            log.info("offset expired", topic=self.topic, offset=offset)
+            self._needs_snapshot = True
             return self.poll()
-        if content.skipped:
-            log.warning("records skipped", topic=self.topic, count=content.skipped)
-        known = self.shelf.next_offset
-        if not self._take(content, whole=whole, sent_s=sent_s):
+        if batch.skipped:
+            log.warning(
+                "undecodable records skipped", topic=self.topic, count=batch.skipped
+            )
+        known_offset = self.cache.next_offset
+        if not self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s):
             return False
-        if content.next_offset > (known or 0):
-            self._relay.announce(self)
+        if batch.next_offset > (known_offset or 0):
+            self._relay.notify_peers(self)
         return True
 
-    def learn(self, content: Records, *, whole: bool, sent_s: float) -> None:
-        """Take in what another entry told; from the thread that hears it."""
-        self._take(content, whole=whole, sent_s=sent_s)
+    def apply_relayed(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
+    ) -> None:
+        """Apply records relayed by another entry; called on the receiving thread."""
+        self._apply_and_cache(batch, is_snapshot=is_snapshot, sent_s=sent_s)
 
-    def read_soon(self) -> None:
-        """Read the store once `reread_s` allows it, in place of the next question.
+    def schedule_read(self) -> None:
+        """Read the store instead of the next query, after at most `reread_after_s`.
 
-        In a quick succession of large versions, one read brings several of them.
+        The delay lets one read return several large records that follow each other.
         """
-        if not self._read_next:
-            self._read_next = True
+        if not self._read_scheduled:
+            self._read_scheduled = True
             self._wake.set()
 
-    def take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
-        """Take records in; `whole` when they are the newest of every key.
+    def apply(self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float) -> bool:
+        """Apply records; a snapshot holds the newest record of every key.
 
-        Returns False when they make no sense, and are to be read again.
+        Returns False when they are invalid and must be read again.
         """
         raise NotImplementedError
 
-    def failed(self) -> None:
-        """The store couldn't be read."""
+    def on_read_failed(self) -> None:
+        """Handle a failed store read; does nothing by default."""
 
-    def _take(self, content: Records, *, whole: bool, sent_s: float) -> bool:
-        with self._taking:
-            if not self.take(content, whole=whole, sent_s=sent_s):
+    def _apply_and_cache(
+        self, batch: RecordBatch, *, is_snapshot: bool, sent_s: float
+    ) -> bool:
+        with self._apply_lock:
+            if not self.apply(batch, is_snapshot=is_snapshot, sent_s=sent_s):
                 return False
-            self.shelf.put(content, whole=whole, sent_s=sent_s)
-            if content.records:
-                self._news_s = max(self._news_s, sent_s)
-            self._from_newest = False
+            self.cache.put(batch, is_snapshot=is_snapshot, sent_s=sent_s)
+            if batch.records:
+                self._last_records_s = max(self._last_records_s, sent_s)
+            self._needs_snapshot = False
             return True
 
     def _run(self) -> None:
         while not self._stopping.is_set():
             try:
-                pause_s = self.turn()
+                pause_s = self.run_once()
             except Exception:
-                log.exception("feed failed", topic=self.topic)
+                log.exception("feed iteration failed", topic=self.topic)
                 pause_s = RETRY_PAUSE_S
             if pause_s:
                 self._wake.wait(pause_s)
             self._wake.clear()
 
-    def turn(self) -> float:
-        """Learn what is new and return the pause after it in seconds."""
-        if self._relies_on_others():
-            if not self._read_next:
-                self._relay.ask_reader(self.topic)
-            return min(self.ask_s, self._relies_for_s())
+    def run_once(self) -> float:
+        """Query a peer or read the store, or both; return the next pause in seconds."""
+        if self._relies_on_peers():
+            if not self._read_scheduled:
+                self._relay.query_reader(self.topic)
+            return min(self.query_interval_s, self._until_store_read_s())
         if self._failing:
-            # The store may turn this entry away and serve others; their answers
-            # come while its own read waits for its time to run out.
-            self._relay.ask_anyone(self.topic)
+            # If the store rejects only this entry, a peer's reply arrives while this
+            # entry's own read is still waiting for its timeout.
+            self._relay.query_random_peer(self.topic)
         if self.poll():
             return self._period_s()
-        self._relay.ask_anyone(self.topic)
+        self._relay.query_random_peer(self.topic)
         return max(RETRY_PAUSE_S, self._period_s())
 
-    def _relies_on_others(self) -> bool:
-        if self._from_newest or not self._relay.follows():
+    def _relies_on_peers(self) -> bool:
+        if self._needs_snapshot or not self._relay.is_follower():
             return False
-        return self._relies_for_s() > 0.0
+        return self._until_store_read_s() > 0.0
 
-    def _relies_for_s(self) -> float:
-        """Return how long it may go on without a read of its own, in seconds."""
-        if not self._read_next:
-            return self._fresh_for_s()
-        news_age_s = self._clock.monotonic_s() - self._news_s
-        return min(self._fresh_for_s(), self.reread_s - news_age_s)
+    def _until_store_read_s(self) -> float:
+        """Return the time until a store read is needed, in seconds."""
+        if not self._read_scheduled:
+            return self._until_stale_s()
+        records_age_s = self._clock.monotonic_s() - self._last_records_s
+        return min(self._until_stale_s(), self.reread_after_s - records_age_s)
 
     def _read_reason(self) -> CallReason:
         if self._failing:
             return CallReason.RETRY
-        if self._from_newest:
-            known = self.shelf.next_offset is not None
-            return CallReason.FORGOTTEN if known else CallReason.FIRST
+        if self._needs_snapshot:
+            known = self.cache.next_offset is not None
+            return CallReason.OFFSET_EXPIRED if known else CallReason.FIRST
         if self._relay.is_alone():
             return CallReason.ALONE
-        if not self._relay.follows():
+        if not self._relay.is_follower():
             return CallReason.READER
-        return CallReason.TOO_LARGE if self._read_next else CallReason.STALE
+        return CallReason.TOO_LARGE if self._read_scheduled else CallReason.STALE
 
     def _count_call(self, reason: CallReason) -> None:
-        self._metrics.count(CALLS, f"{self.topic}:{reason.value}")
+        self._metrics.count(STORE_CALLS, f"{self.topic}:{reason.value}")
 
-    def _fresh_for_s(self) -> float:
-        """Return how long what is known may still be relied on, in seconds."""
-        return self.stale_s - self.shelf.age_s(self._clock.monotonic_s())
+    def _until_stale_s(self) -> float:
+        """Return the time until the cached records are stale, in seconds."""
+        return self.stale_after_s - self.cache.age_s(self._clock.monotonic_s())
 
-    def _wait_s(self) -> float:
-        """Return how long the store may hold a read, in seconds."""
+    def _long_poll_s(self) -> float:
+        """Return how long the store may hold a read for new records, in seconds."""
         return 0.0
 
     def _period_s(self) -> float:
-        """Return the time between two reads, in seconds."""
+        """Return the pause after a read, in seconds."""
         return 0.0
 
-    def _failed(self, error: StoreError) -> None:
+    def _note_failure(self, error: StoreError) -> None:
         if not self._failing:
             log.warning("store lost", topic=self.topic, error=error.detail)
         self._failing = True
-        self.failed()
+        self.on_read_failed()
 
-    def _answered(self) -> None:
+    def _note_success(self) -> None:
         if self._failing:
             log.info("store regained", topic=self.topic)
         self._failing = False
--- a/lavenderspoke/direct/gossip.py
+++ b/lavenderspoke/direct/gossip.py
@@ -1,4 +1,4 @@
-"""Sends what an entry tells the others, and hears what they tell."""
+"""Exchanges messages with the other entries, and runs the entry's periodic work."""
 
 import threading
 from collections.abc import Callable
@@ -7,45 +7,45 @@
 import pynng
 
 from lavenderspoke.codec import Codec, CodecError
+from lavenderspoke.direct.dissemination import Dissemination, OutgoingMessage
 from lavenderspoke.direct.messages import (
     DirectMessage,
     GroupStates,
     RecordsMessage,
     SharedState,
 )
-from lavenderspoke.direct.office import Office
+from lavenderspoke.direct.office import DirectDispatcher
 from lavenderspoke.direct.settings import Address
-from lavenderspoke.direct.talk import Letter, Talk
 from lavenderspoke.envelope import Envelope
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.metrics import Metrics
 from lavenderspoke.poison import CrashEvidence
 from lavenderspoke.transport import Transport
 
-# Time between two looks at the lines, in seconds: how late a request learns that
-# its time in line is up, or that a peer's place came free.
+# Interval between ticks, in seconds. A tick also runs the dispatcher's periodic work,
+# so it bounds how late a queued request times out, or gets a slot that a peer released.
 TICK_S = 0.02
 
 log = logbook.Logger(__name__)
 
 
 class Gossip:
-    """The part of an entry that keeps it in step with the others."""
+    """Supervised part that sends, receives and ticks; see `Dissemination`."""
 
     def __init__(
         self,
         *,
         me: InstanceId,
         listen: Address,
-        office: Office,
-        talk: Talk,
+        dispatcher: DirectDispatcher,
+        dissemination: Dissemination,
         metrics: Metrics,
         on_records: Callable[[InstanceId, RecordsMessage], None],
     ):
         self._me = me
         self._on_records = on_records
-        self._office = office
-        self._talk = talk
+        self._dispatcher = dispatcher
+        self._dissemination = dissemination
         self._metrics = metrics
         self._transport = Transport(
             codec=Codec(messages=DirectMessage),
@@ -57,73 +57,75 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listen, and begin to tell."""
+        """Start listening and sending."""
         self._stopping.clear()
         self._transport.start()
         thread = threading.Thread(target=self._run, name="gossip", daemon=True)
         try:
             thread.start()
         except RuntimeError:
-            # Left open, it would hold the address against the next try.
+            # Left open, it would keep the address in use at the next attempt.
             self._transport.close()
             raise
         self._thread = thread
 
     def stop(self) -> None:
-        """Tell the others that this entry leaves, and hang up."""
+        """Announce that this entry is leaving, and close all connections."""
         self._stopping.set()
         if self._thread not in (None, threading.current_thread()):
             self._thread.join()
-        self._send_all(self._talk.farewell())
+        self._send_all(self._dissemination.leave_messages())
         self._transport.close()
 
     def alive(self) -> bool:
-        """Return whether the others are being heard and told."""
+        """Return whether messages are being sent and received."""
         running = self._thread is not None and self._thread.is_alive()
         return running and self._transport.alive()
 
-    def tell(self, name: str, message: RecordsMessage) -> None:
-        """Send one entry a message; it is dropped if that can't be reached."""
-        peer = self._office.known_peers().get(name)
+    def send_to_peer(self, name: str, message: RecordsMessage) -> None:
+        """Send a message to one entry; drop it if that is unknown or unreachable."""
+        peer = self._dispatcher.known_peers().get(name)
         if peer is not None:
-            self._send(Letter(name=name, address=peer.address, message=message))
+            self._send(
+                OutgoingMessage(name=name, address=peer.address, message=message)
+            )
 
     def _run(self) -> None:
         while not self._stopping.wait(TICK_S):
             try:
-                self._send_all(self._talk.tick())
-                for address in self._office.gone_peers():
+                self._send_all(self._dissemination.tick())
+                for address in self._dispatcher.forget_gone_peers():
                     self._transport.forget(address)
             except Exception:
-                # The lines must go on being served, whatever one tick met.
-                log.exception("tick failed")
+                # An error in one tick must not stop the queues from being served.
+                log.exception("gossip tick failed")
 
-    def _send_all(self, letters: list[Letter]) -> None:
-        for letter in letters:
-            self._send(letter)
+    def _send_all(self, messages: list[OutgoingMessage]) -> None:
+        for message in messages:
+            self._send(message)
 
-    def _send(self, letter: Letter) -> None:
-        recipient = InstanceId(name=letter.name, incarnation="")
+    def _send(self, outgoing: OutgoingMessage) -> None:
+        recipient = InstanceId(name=outgoing.name, incarnation="")
         envelope = Envelope(
-            sender=self._me, recipient=recipient, message=letter.message
+            sender=self._me, recipient=recipient, message=outgoing.message
         )
         try:
-            sent = self._transport.send(letter.address, envelope)
+            sent = self._transport.send(outgoing.address, envelope)
         except pynng.NNGException as error:
-            log.warning("peer can't be told", peer=letter.name, error=str(error))
+            log.warning("sending to peer failed", peer=outgoing.name, error=str(error))
             sent = False
         self._metrics.count("gossip", "sent" if sent else "dropped")
 
     def _on_message(self, envelope: Envelope) -> None:
         if envelope.recipient.name != self._me.name:
-            # An address may have been given to another entry.
+            # The address may have been reassigned to this entry.
             self._metrics.count("gossip", "misdirected")
             return
         message = envelope.message
         if isinstance(message, (SharedState, GroupStates)):
-            self._send_all(self._talk.heard(envelope.sender, message))
+            self._send_all(self._dissemination.receive(envelope.sender, message))
         elif isinstance(message, CrashEvidence):
-            self._office.heard_of_crash(message)
+            self._dispatcher.receive_crash_evidence(message)
         elif isinstance(message, RecordsMessage):
             self._on_records(envelope.sender, message)
 
--- a/lavenderspoke/direct/messages.py
+++ b/lavenderspoke/direct/messages.py
@@ -1,23 +1,24 @@
-"""The messages that entries which dispatch directly send each other.
+"""Messages between entries that use direct dispatch.
 
-Each is one way and may be lost, late, doubled or out of order.
+All are one-way, and may be lost, delayed, duplicated or reordered.
 """
 
 import attrs
 
-from lavenderspoke.direct.usage import Rows
+from lavenderspoke.direct.usage import UsageRows
 from lavenderspoke.model import InstanceId
 from lavenderspoke.poison import CrashEvidence
 
 
 @attrs.frozen(kw_only=True)
 class RolloutNews:
-    """What an entry saw of a service's roll-out, in all since it started.
+    """An entry's totals for a service's roll-out, since the entry started.
 
-    `number` names the order and `stage` how far the entry knows it to be; it has known
-    of it for `elapsed_s`. It sent `requests` to the service, `to_target` of them to the
-    target. `routes` are rows of route, answers of the target and how many of them were
-    bad, and the same of the other versions.
+    `number` identifies the order, `stage` is the latest stage that the entry knows, and
+    `elapsed_s` the time since any entry first saw the order. The entry sent `requests`
+    to the service, `to_target` of them to the target version. A row of `routes` is the
+    route, the target's responses and how many of them were bad, and the same of the
+    other versions.
     """
 
     service: str
@@ -31,22 +32,25 @@
 
 @attrs.frozen(kw_only=True)
 class SharedState:
-    """An entry that dispatches directly tells the others what they share.
-
-    `running` maps upstream to the requests it has running there and their unread
-    prompt tokens; `waiting` and `held` map service to rows of customer rank, route
-    rank and count, of requests in line and at upstreams; `spent` maps customer to
-    rows of route rank, what the entry let through since it started and what was asked
-    for, without those customers for which that is known; `rollouts` tells of the
-    services whose version changes.
-
-    What has happened since the last message: `refused` are the fingerprints of requests
-    refused, whose callers may come back anywhere; `gone` are upstreams at whose address
-    another one was found; `unreached` are those to which a connection failed; `failing`
-    are those left alone because they fail more than the others of their service.
-
-    `number` counts the messages of one life of the entry: a state may come by several
-    ways, and the older one must not replace the newer.
+    """The state that an entry shares with the others.
+
+    - `running`: upstream to the entry's in-flight requests there and their prompt
+      tokens still to be prefilled.
+    - `waiting`, `held`: service to rows of customer rank, route rank and number of
+      requests, for those queued (`waiting`) and those at upstreams (`held`).
+    - `spent`: customer to rows of route rank, cost admitted and cost requested, since
+      the entry started. Customers without a change may be left out.
+    - `rollouts`: what the entry knows of each service's roll-out.
+
+    Events since the last message:
+
+    - `refused`: fingerprints of refused requests, which may be retried at any entry.
+    - `gone`: upstreams at whose address another upstream was found.
+    - `unreached`: upstreams to which a connection failed.
+    - `failing`: upstreams ejected because they fail more than others of their service.
+
+    `number` counts the messages of one incarnation of the entry. A state can arrive on
+    several paths, and an older one must not replace a newer one.
     """
 
     address: str
@@ -55,7 +59,7 @@
     running: dict[str, tuple[int, int]] = attrs.field(factory=dict)
     waiting: dict[str, tuple[tuple[int, int, int], ...]] = attrs.field(factory=dict)
     held: dict[str, tuple[tuple[int, int, int], ...]] = attrs.field(factory=dict)
-    spent: dict[str, Rows] = attrs.field(factory=dict)
+    spent: dict[str, UsageRows] = attrs.field(factory=dict)
     rollouts: tuple[RolloutNews, ...] = ()
     refused: tuple[str, ...] = ()
     gone: tuple[str, ...] = ()
@@ -66,9 +70,9 @@
 
 @attrs.frozen(kw_only=True)
 class PassedOn:
-    """What an entry told, as another one passes it on `age_s` later.
+    """An entry's state, first forwarded `age_s` seconds after its receipt.
 
-    Of several messages it is the last, with the news of all.
+    Several states of an entry are combined into the last one, with the events of all.
     """
 
     sender: InstanceId
@@ -78,9 +82,9 @@
 
 @attrs.frozen(kw_only=True)
 class GroupStates:
-    """An entry passes on what its neighbours and itself told.
+    """States of an entry and its neighbours, forwarded to another group (`topology`).
 
-    With `to_neighbours` the one that gets it passes it on to its own neighbours.
+    With `to_neighbours`, the recipient forwards them to its own neighbours.
     """
 
     states: tuple[PassedOn, ...]
@@ -89,11 +93,11 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsAsked:
-    """An entry asks another what that knows of a topic of the platform's log.
+    """Queries another entry for its records of a topic of the platform's store.
 
-    `from_offset` is where the asker would read on, -1 when it knows nothing yet.
-    `asked_s` is on the asker's clock and comes back with the answer. `in_full` asks
-    for records of any size, since the asker can't read the log.
+    `from_offset` is the offset of the sender's next read, -1 before its first one.
+    `asked_s` is the send time on the sender's clock and is returned in the reply.
+    `in_full` requests records of any size, since the sender can't read the store.
     """
 
     topic: str
@@ -104,13 +108,14 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsTold:
-    """An entry's answer: the newest record of each key since the offset asked for.
-
-    `age_s` is the time since the log was asked for what this says; the asker counts
-    it back from `asked_s`, since the answer was put together after that. Records
-    are rows of key, value and offset, in order; the value is None where the key was
-    dropped. With `whole` these are all keys there are. With `too_large` there are
-    records that the asker had better read from the log itself.
+    """The reply to a query: the newest record of each key since the queried offset.
+
+    `age_s` is the time since the store read behind it was sent, in seconds. The reply
+    was composed after `asked_s`, so the read was sent no earlier than `asked_s` minus
+    `age_s`, which the receiver takes as its time. Records are rows of key, value and
+    offset, in offset order; a value of None is a tombstone. With `whole` they are a
+    snapshot of all keys. With `too_large` the records are left out, and the receiver
+    should read them from the store.
     """
 
     topic: str
@@ -124,9 +129,9 @@
 
 @attrs.frozen(kw_only=True)
 class RecordsNews:
-    """An entry tells that it has read records of a topic up to an offset.
+    """Notifies other entries that the sender has read a topic up to an offset.
 
-    Who knows less asks for them, which spares those that know them the bytes.
+    Entries that are behind query the records, so those that aren't cause no traffic.
     """
 
     topic: str
--- a/lavenderspoke/direct/readiness.py
+++ b/lavenderspoke/direct/readiness.py
@@ -1,8 +1,8 @@
-"""The page that tells the platform's balancer whether to send callers here."""
+"""The readiness page for the platform's load balancer, and the metrics page."""
 
 from collections.abc import Callable, Iterable
 
-from lavenderspoke.direct.server import ServerPart
+from lavenderspoke.direct.server import SupervisedServer
 from lavenderspoke.direct.settings import Address
 from lavenderspoke.http.callerrequest import StartResponse
 from lavenderspoke.http.server import HttpServer
@@ -12,8 +12,8 @@
 METRICS_PATH = "/metrics"
 
 
-class ReadinessServer(ServerPart):
-    """Answers 200 while callers may come and 503 otherwise, on any path.
+class ReadinessServer(SupervisedServer):
+    """Responds 200 while callers may be sent here and 503 otherwise, on any path.
 
     `/metrics` on the same address shows counters and latencies as text.
     """
@@ -28,15 +28,15 @@
         self._ready = ready
         self._metrics = metrics
 
-    def make(self) -> HttpServer:
+    def create_server(self) -> HttpServer:
         return HttpServer(
             host=self._address.host,
             port=self._address.port,
-            app=self._answer,
+            app=self._respond,
             threads=THREADS,
         )
 
-    def _answer(self, environ: dict, start_response: StartResponse) -> Iterable[bytes]:
+    def _respond(self, environ: dict, start_response: StartResponse) -> Iterable[bytes]:
         if environ["PATH_INFO"] == METRICS_PATH:
             body = self._metrics.render().encode()
             status = "200 OK"
--- a/lavenderspoke/direct/relocation.py
+++ b/lavenderspoke/direct/relocation.py
@@ -1,8 +1,8 @@
-"""Moving a request from an upstream that is silent to another one.
+"""Moves a request from a silent upstream to another one.
 
-A silent upstream may be at work. Given up before it is certain that another one goes
-on, its answer is lost: the caller sees a stream that breaks off, and the upstream would
-have gone on. So a retry and a reserved place elsewhere come first.
+A silent upstream may still be working. If it were given up before another one is sure
+to take over, the caller's stream might break off although the upstream would have
+continued. So a retry and a reserved slot elsewhere are acquired first.
 """
 
 from collections import Counter
@@ -12,19 +12,24 @@
 from result import Ok
 
 from lavenderspoke.clock import Clock
-from lavenderspoke.direct.desk import Accepted, Desk, Look, Outcome
 from lavenderspoke.direct.dialect import Dialect
-from lavenderspoke.direct.exchange import Sending
+from lavenderspoke.direct.dispatcher import (
+    AcceptedRequest,
+    AttemptOutcome,
+    Dispatcher,
+    RelocationResult,
+)
+from lavenderspoke.direct.exchange import RequestHandle
 from lavenderspoke.direct.instances import Upstream
-from lavenderspoke.direct.reserving import reserve
+from lavenderspoke.direct.reserving import reserve_slot
 from lavenderspoke.direct.tickets import Ticket
 
 
 @attrs.frozen(kw_only=True)
-class Place:
-    """A place at an upstream that a request holds.
+class HeldSlot:
+    """A slot at an upstream that a request holds.
 
-    `reservation` names it there, where the upstream has confirmed it.
+    `reservation` is its id there if the upstream has confirmed it.
     """
 
     upstream: Upstream
@@ -33,94 +38,96 @@
 
 
 class Relocation:
-    """What one request needs to leave a silent upstream; used by one thread.
+    """Prepares one request's move from a silent upstream; used by one thread.
 
-    `free_place` returns a place that is free as far as the entry knows, without waiting
-    for one. `declined` names upstreams that reserved nothing; `looks` counts what was
-    found.
+    `find_free_slot` returns a slot that is free as far as the entry knows, without
+    waiting for one. `declined` holds the ids of upstreams that reserved no slot;
+    `results` counts the values of `RelocationResult`.
     """
 
     def __init__(
         self,
         *,
-        accepted: Accepted,
-        desk: Desk,
+        accepted: AcceptedRequest,
+        dispatcher: Dispatcher,
         dialect: Dialect,
         clock: Clock,
-        free_place: Callable[[], Place | None],
+        find_free_slot: Callable[[], HeldSlot | None],
     ):
-        self.looks: Counter[str] = Counter()
+        self.results: Counter[str] = Counter()
         self.declined: set[str] = set()
         self._accepted = accepted
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._dialect = dialect
         self._clock = clock
-        self._free_place = free_place
-        self._place: Place | None = None
+        self._find_free_slot = find_free_slot
+        self._slot: HeldSlot | None = None
 
     @property
     def is_prepared(self) -> bool:
-        """Whether a retry and a place elsewhere are held."""
-        return self._place is not None
+        """Whether a retry and a slot elsewhere are held."""
+        return self._slot is not None
 
     def is_possible(self) -> bool:
-        """Return whether upstreams reserve places for such a request."""
-        return self._dialect.reserves(self._accepted.head)
-
-    def prepare(self, current: Sending) -> bool:
-        """Take a retry and a place elsewhere, unless the upstream speaks meanwhile."""
-        look = self._look()
-        if look is Look.FOUND and current.has_unread_data():
-            self.give_back()
-            look = Look.SPOKE
-        self.looks[look.value] += 1
-        self._desk.looked(look)
-        return look is Look.FOUND
-
-    def take(self) -> Place | None:
-        """Return the place that is held, which is the caller's from now on."""
-        place, self._place = self._place, None
-        return place
-
-    def give_back(self) -> None:
-        """Give the place and the retry back, if they are held."""
-        place = self.take()
-        if place is not None:
-            self._desk.give_back(place.ticket, place.upstream)
-            self._desk.retry_unused(self._accepted.service)
-
-    def heard(self) -> None:
-        """Forget who declined: the upstream isn't silent any more."""
+        """Return whether upstreams reserve slots for such a request."""
+        return self._dialect.supports_reservation(self._accepted.head)
+
+    def prepare(self, current: RequestHandle) -> bool:
+        """Acquire a retry and a slot elsewhere, unless data arrives meanwhile."""
+        result = self._find_and_reserve()
+        if result is RelocationResult.FOUND and current.has_unread_data():
+            self.release()
+            result = RelocationResult.SPOKE
+        self.results[result.value] += 1
+        self._dispatcher.relocation_checked(result)
+        return result is RelocationResult.FOUND
+
+    def take_slot(self) -> HeldSlot | None:
+        """Return the held slot, which the calling code has to release."""
+        slot, self._slot = self._slot, None
+        return slot
+
+    def release(self) -> None:
+        """Release the slot and return the retry, if they are held."""
+        slot = self.take_slot()
+        if slot is not None:
+            self._dispatcher.release_slot(slot.ticket, slot.upstream)
+            self._dispatcher.return_retry(self._accepted.service)
+
+    def clear_declined(self) -> None:
+        """Clear `declined`, since the upstream is no longer silent."""
         self.declined.clear()
 
-    def _look(self) -> Look:
+    def _find_and_reserve(self) -> RelocationResult:
         service = self._accepted.service
-        if not self._desk.may_retry(service):
-            return Look.NO_RETRY
-        place = self._free_place()
-        self._place = None if place is None else self._reserved(place)
-        if self._place is not None:
-            return Look.FOUND
-        self._desk.retry_unused(service)
-        return Look.NO_PLACE if place is None else Look.NOT_RESERVED
-
-    def _reserved(self, place: Place) -> Place | None:
-        """Return the place once its upstream has reserved it, or give it back."""
-        upstream, ticket = place.upstream, place.ticket
-        reserved = reserve(
-            call=self._dialect.reservation_call(
+        if not self._dispatcher.take_retry(service):
+            return RelocationResult.NO_RETRY
+        slot = self._find_free_slot()
+        self._slot = None if slot is None else self._reserve(slot)
+        if self._slot is not None:
+            return RelocationResult.FOUND
+        self._dispatcher.return_retry(service)
+        return (
+            RelocationResult.NO_PLACE if slot is None else RelocationResult.NOT_RESERVED
+        )
+
+    def _reserve(self, slot: HeldSlot) -> HeldSlot | None:
+        """Return the slot once its upstream has reserved it, or release it."""
+        upstream, ticket = slot.upstream, slot.ticket
+        reserved = reserve_slot(
+            request=self._dialect.reservation_request(
                 head=self._accepted.head, upstream=upstream
             ),
-            connections=self._desk.connections(upstream),
+            connection_pool=self._dispatcher.connection_pool(upstream),
             dialect=self._dialect,
             clock=self._clock,
         )
         if isinstance(reserved, Ok):
-            return attrs.evolve(place, reservation=reserved.ok_value)
+            return attrs.evolve(slot, reservation=reserved.ok_value)
         self.declined.add(upstream.upstream_id)
         outcome = reserved.err_value.outcome
-        if outcome is Outcome.NOT_RUN:
-            self._desk.give_back(ticket, upstream)
+        if outcome is AttemptOutcome.NOT_RUN:
+            self._dispatcher.release_slot(ticket, upstream)
         else:
-            self._desk.ended(ticket, upstream, self._accepted, outcome)
+            self._dispatcher.attempt_ended(ticket, upstream, self._accepted, outcome)
         return None
--- a/lavenderspoke/direct/usage.py
+++ b/lavenderspoke/direct/usage.py
@@ -1,16 +1,16 @@
-"""What one customer used and asked for lately, by rank."""
+"""What one customer used and requested lately, by rank."""
 
 from collections import defaultdict, deque
 
 import attrs
 
-Rows = tuple[tuple[int, float, float], ...]
-"""Rank, what an entry let through of it and what was asked for, since its start."""
+UsageRows = tuple[tuple[int, float, float], ...]
+"""Route rank, and the costs that an entry admitted and that were requested there."""
 
 
 @attrs.define(kw_only=True)
 class _Window:
-    """Amounts of a sliding window: rows of time and amount, and their sum."""
+    """Amounts within a sliding window: rows of time and amount, and their sum."""
 
     amount: float = 0.0
     rows: deque = attrs.field(factory=deque)
@@ -19,11 +19,11 @@
         self.rows.append((now_s, amount))
         self.amount += amount
 
-    def take_back(self, amount: float) -> None:
-        """Take an amount off the newest rows.
+    def subtract(self, amount: float) -> None:
+        """Subtract an amount from the newest rows.
 
-        Subtracted as a row of its own, it would still count when the row that it
-        belongs to has left the window, and as much too much would pass.
+        As a negative row of its own, it would still count after the row that it belongs
+        to has left the window, and too much would be admitted.
         """
         while amount > 0.0 and self.rows:
             at_s, newest = self.rows.pop()
@@ -33,7 +33,7 @@
             if newest > taken:
                 self.rows.append((at_s, newest - taken))
 
-    def forget(self, before_s: float) -> None:
+    def expire(self, before_s: float) -> None:
         while self.rows and self.rows[0][0] <= before_s:
             self.amount -= self.rows.popleft()[1]
 
@@ -46,83 +46,84 @@
 class Usage:
     """One customer's use at all entries, and the totals of this one.
 
-    `level` is what a bucket holds that empties at `empties_per_s`. Times are seconds
-    on the clock that the caller passes in; `pass_time` comes before what is asked.
+    Use is known from `since_s` on. `bucket_level` is that of a leaky bucket, which
+    empties at `leak_per_s`. Times are in seconds on the caller's clock; call `advance`
+    before reading values.
     """
 
     since_s: float
-    at_s: float
-    empties_per_s: float = 0.0
-    level: float = 0.0
+    advanced_s: float
+    leak_per_s: float = 0.0
+    bucket_level: float = 0.0
     _used: defaultdict[int, _Window] = attrs.field(factory=_windows)
-    _asked: defaultdict[int, _Window] = attrs.field(factory=_windows)
+    _requested: defaultdict[int, _Window] = attrs.field(factory=_windows)
     _own_used: defaultdict[int, float] = attrs.field(factory=lambda: defaultdict(float))
-    _own_asked: defaultdict[int, float] = attrs.field(
+    _own_requested: defaultdict[int, float] = attrs.field(
         factory=lambda: defaultdict(float)
     )
 
-    def pass_time(self, now_s: float, window_s: float) -> None:
-        """Forget what has left the window, and empty the bucket a little."""
-        for window in (*self._used.values(), *self._asked.values()):
-            window.forget(now_s - window_s)
-        emptied = max(0.0, now_s - self.at_s) * self.empties_per_s
-        self.level = max(0.0, self.level - emptied)
-        self.at_s = now_s
+    def advance(self, now_s: float, window_s: float) -> None:
+        """Drop what has left the window, and let the bucket leak up to now."""
+        for window in (*self._used.values(), *self._requested.values()):
+            window.expire(now_s - window_s)
+        leaked = max(0.0, now_s - self.advanced_s) * self.leak_per_s
+        self.bucket_level = max(0.0, self.bucket_level - leaked)
+        self.advanced_s = now_s
 
-    def is_full(self, now_s: float, window_s: float) -> bool:
-        """Return whether all of a window is known."""
+    def covers_window(self, now_s: float, window_s: float) -> bool:
+        """Return whether the use in the whole window is known."""
         return now_s - self.since_s >= window_s
 
     def used(self) -> float:
         """Return what was used in the window."""
         return sum(window.amount for window in self._used.values())
 
-    def used_from(self, rank: int) -> float:
+    def used_at_or_below(self, rank: int) -> float:
         """Return what that rank and those below it used in the window."""
         return sum(w.amount for each, w in self._used.items() if each >= rank)
 
-    def asked_above(self, rank: int) -> float:
-        """Return what ranks above that one asked for in the window."""
-        return sum(w.amount for each, w in self._asked.items() if each < rank)
+    def requested_above(self, rank: int) -> float:
+        """Return what ranks above that one requested in the window."""
+        return sum(w.amount for each, w in self._requested.items() if each < rank)
 
-    def ask(self, rank: int, cost: float, now_s: float) -> None:
-        """Count what was asked for at this entry."""
-        self._asked[rank].add(cost, now_s)
-        self._own_asked[rank] += cost
+    def record_request(self, rank: int, cost: float, now_s: float) -> None:
+        """Count what was requested at this entry."""
+        self._requested[rank].add(cost, now_s)
+        self._own_requested[rank] += cost
 
     def spend(self, rank: int, cost: float, now_s: float) -> None:
-        """Count what this entry let through."""
+        """Count what this entry admitted."""
         self._used[rank].add(cost, now_s)
         self._own_used[rank] += cost
-        self.level += cost
+        self.bucket_level += cost
 
     def refund(self, rank: int, cost: float) -> None:
-        """Take back what this entry let through and what never ran."""
-        self._used[rank].take_back(cost)
+        """Take back the cost of an admitted request that never ran."""
+        self._used[rank].subtract(cost)
         self._own_used[rank] -= cost
-        self.level = max(0.0, self.level - cost)
-
-    def totals(self) -> Rows:
-        """Return rank, used and asked for of this entry, since its start."""
-        ranks = sorted({*self._own_used, *self._own_asked})
-        return tuple((r, self._own_used[r], self._own_asked[r]) for r in ranks)
-
-    def add_peer(self, before: Rows, after: Rows, now_s: float) -> None:
-        """Add what a peer's totals have grown by."""
-        known = {rank: (used, asked) for rank, used, asked in before}
-        for rank, used, asked in after:
-            used_before, asked_before = known.get(rank, (0.0, 0.0))
-            if asked > asked_before:
-                self._asked[rank].add(asked - asked_before, now_s)
-            added = used - used_before
-            if added > 0.0:
-                self._used[rank].add(added, now_s)
+        self.bucket_level = max(0.0, self.bucket_level - cost)
+
+    def totals(self) -> UsageRows:
+        """Return this entry's totals by rank since its start."""
+        ranks = sorted({*self._own_used, *self._own_requested})
+        return tuple((r, self._own_used[r], self._own_requested[r]) for r in ranks)
+
+    def merge_peer(self, before: UsageRows, after: UsageRows, now_s: float) -> None:
+        """Add the change of a peer's totals between two messages."""
+        known = {rank: (used, requested) for rank, used, requested in before}
+        for rank, used, requested in after:
+            used_before, requested_before = known.get(rank, (0.0, 0.0))
+            if requested > requested_before:
+                self._requested[rank].add(requested - requested_before, now_s)
+            delta = used - used_before
+            if delta > 0.0:
+                self._used[rank].add(delta, now_s)
             else:
-                self._used[rank].take_back(-added)
-            self.level = max(0.0, self.level + added)
+                self._used[rank].subtract(-delta)
+            self.bucket_level = max(0.0, self.bucket_level + delta)
 
-    def frees_s(self, amount: float, now_s: float, window_s: float) -> float:
-        """Return in how many seconds so much will have left the window."""
+    def wait_to_free_s(self, amount: float, now_s: float, window_s: float) -> float:
+        """Return in how many seconds that amount will have left the window."""
         if amount <= 0.0:
             return 0.0
         rows = sorted(row for window in self._used.values() for row in window.rows)
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -12,13 +12,13 @@
 import attrs
 
 from lavenderspoke import messages
-from lavenderspoke.assembly import is_whole
 from lavenderspoke.core import Count, Observe, Send
 from lavenderspoke.entryevents import Answered, Finish, PutBack, Reply
 from lavenderspoke.gateway import AnswerBody, AnswerEnd
 from lavenderspoke.messages import Piece
 from lavenderspoke.model import InstanceId, Ran, Standing
 from lavenderspoke.problems import Problem, Reason
+from lavenderspoke.reassembly import is_complete
 from lavenderspoke.tracked import Phase, Tracked, TrackedRequests
 
 # "Never", said of a revoke or by a refusal, is trusted for this long after the
@@ -118,7 +118,7 @@
         tracked.heard_s = now_s
         tracked.phase = Phase.RUNNING
         actions = []
-        for ready in tracked.assembly.add(piece):
+        for ready in tracked.reassembly.add(piece):
             actions += self._part(tracked, ready, now_s)
         return actions
 
@@ -137,7 +137,7 @@
         return actions
 
     def _last(self, tracked: Tracked, piece: Piece, now_s: float) -> list:
-        if not is_whole(piece):
+        if not is_complete(piece):
             return [self._ends(tracked, "the count of pieces is wrong", Ran.YES)]
         taken = messages.AnswerTaken(request_id=tracked.run_id)
         self.requests.remove(tracked.request_id)
@@ -177,7 +177,7 @@
             return self._ask(tracked, self._revoke(tracked), now_s)
         if tracked.phase is Phase.RESUMING:
             return self._ask(tracked, self._resume(tracked), now_s)
-        if tracked.assembly.has_gap or silent_s >= self.times.attach_after_s:
+        if tracked.reassembly.has_gap or silent_s >= self.times.attach_after_s:
             return self._ask(tracked, self._attach(tracked), now_s)
         return []
 
@@ -201,7 +201,7 @@
 
     def _attach(self, tracked: Tracked) -> messages.Attach:
         return messages.Attach(
-            request_id=tracked.run_id, number=tracked.assembly.next_number
+            request_id=tracked.run_id, number=tracked.reassembly.next_number
         )
 
     def _resume(self, tracked: Tracked) -> messages.Resume:
--- a/lavenderspoke/platform/daemon.py
+++ b/lavenderspoke/platform/daemon.py
@@ -12,7 +12,7 @@
 from lavenderspoke.clock import BootClock, Clock
 from lavenderspoke.direct.daemon import DirectEntry
 from lavenderspoke.direct.messages import RecordsMessage
-from lavenderspoke.direct.relay import Peering, Relay
+from lavenderspoke.direct.relay import PeerAccess, Relay
 from lavenderspoke.direct.settings import Bounds
 from lavenderspoke.model import InstanceId
 from lavenderspoke.observing.logs import BoundedStream, JsonLinesHandler
@@ -90,10 +90,10 @@
     ):
         self._settings = watch
         self._relay = Relay(
-            peering=Peering(
+            peers=PeerAccess(
                 name=entry.me.name,
-                heard=entry.office.heard_names,
-                tell=entry.tell,
+                live_peer_names=entry.dispatcher.live_peer_names,
+                send=entry.send_to_peer,
             ),
             clock=clock,
             random=Random(),
@@ -106,19 +106,19 @@
             apply_s=_apply_s(settings.direct.bounds),
             in_force=entry.in_force,
             orders=Orders(
-                on_order=entry.office.ordered,
-                on_withdrawn=entry.office.order_withdrawn,
+                on_order=entry.dispatcher.rollout_ordered,
+                on_withdrawn=entry.dispatcher.order_withdrawn,
                 metrics=entry.metrics,
             ),
             on_change=entry.catalog_changed,
-            on_read=entry.office.orders_read,
+            on_read=entry.dispatcher.orders_read,
         )
         self._rollouts = StatusWriter(
             store=Store(address=settings.store),
             clock=clock,
             metrics=entry.metrics,
-            wishes=entry.office.rollout_wishes,
-            stored=entry.office.rollout_stored,
+            wishes=entry.dispatcher.rollout_records_due,
+            stored=entry.dispatcher.rollout_stored,
         )
         self._upstreams = UpstreamsFeed(
             store=Store(address=settings.store),
@@ -126,7 +126,7 @@
             relay=self._relay,
             metrics=entry.metrics,
             drain_s=settings.direct.bounds.drain_s,
-            on_change=entry.office.upstreams_changed,
+            on_change=entry.dispatcher.upstreams_changed,
         )
         self._entries = EntriesFeed(
             store=Store(address=settings.store),
@@ -134,8 +134,8 @@
             relay=self._relay,
             metrics=entry.metrics,
             name=entry.me.name,
-            whereabouts=entry.whereabouts,
-            on_change=entry.office.peers_listed,
+            location=entry.location,
+            on_change=entry.dispatcher.peers_listed,
         )
 
     def parts(self) -> list[tuple[str, Part]]:
@@ -148,9 +148,9 @@
             ("rollouts", self._rollouts.part),
         ]
 
-    def heard(self, sender: InstanceId, message: RecordsMessage) -> None:
+    def handle_message(self, sender: InstanceId, message: RecordsMessage) -> None:
         """Take in what another entry says about the store's records."""
-        self._relay.heard(sender, message)
+        self._relay.handle_message(sender, message)
 
     def leave(self) -> None:
         """Drop this entry's record."""
