--- a/lavenderspoke/poison.py
+++ b/lavenderspoke/poison.py
@@ -1,11 +1,12 @@
-"""Which request content is refused because upstreams crash when they run it.
-
-A crash names everything that ran in the upstream, the culprit and the
-bystanders. Content is quarantined when it ran in crashes of enough distinct
-upstreams and nothing else explains those crashes as well: a bystander's
-crashes are always some of the culprit's. Two that ran in exactly the same
-crashes can't be told apart, so more crashes are waited for. Content that any
-upstream has answered whole is no suspect.
+"""Detects and quarantines request content that crashes upstreams.
+
+Crash evidence names all content that was running in the upstream: the culprit
+and bystanders. Content is quarantined when it ran in crashes of enough distinct
+upstreams and no other content ran in all of them: a bystander of a culprit runs
+only in some of its crashes. Contents that ran in exactly the same crashes can't
+be distinguished, so they are quarantined only after crashes of more upstreams.
+Content among the last `ANSWERED_MAX` that an upstream answered completely isn't
+suspected.
 """
 
 from collections import OrderedDict
@@ -14,16 +15,17 @@
 
 from lavenderspoke.checking import fieldrules
 
+# Bounds of what a history remembers; the oldest is forgotten first.
 CRASHES_MAX = 256
 ANSWERED_MAX = 4096
-# Crashes beyond the threshold after which content that can't be told apart is
-# quarantined together.
-AMBIGUOUS_EXTRA = 2
+# Crashed upstreams beyond the threshold after which contents that can't be
+# distinguished are all quarantined.
+AMBIGUOUS_EXTRA_UPSTREAMS = 2
 
 
 @attrs.frozen(kw_only=True)
-class Poison:
-    """After how many distinct crashed upstreams a request is refused."""
+class QuarantinePolicy:
+    """After how many distinct crashed upstreams content is refused, and how long."""
 
     upstreams_threshold: int = attrs.field(
         default=2, metadata=fieldrules.between(1, 100)
@@ -35,10 +37,10 @@
 
 @attrs.frozen(kw_only=True)
 class CrashEvidence:
-    """An agent tells that its upstream crashed and what ran in it.
+    """Reports that an upstream crashed, and which content was running in it.
 
-    `upstream` names the crashed upstream; the fingerprints cover content only,
-    so that a re-send under a new key is recognised.
+    The fingerprints cover the requests' content only, so a re-send under
+    another key is recognised.
     """
 
     service: str
@@ -49,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class Quarantined:
-    """A fingerprint is refused everywhere for `ttl_s` from now."""
+    """Announces that a fingerprint is refused for `ttl_s` from receipt."""
 
     service: str
     fingerprint: str
@@ -60,107 +62,112 @@
 class _Crash:
     upstream: str
     fingerprints: frozenset[str]
-    at_s: float
+    recorded_s: float
 
 
-class CrashLedger:
-    """The crashes of one service that are still remembered, and the verdicts.
+class CrashHistory:
+    """The recent crashes of one service, and its quarantined fingerprints.
 
-    Crashes are forgotten after the document's `quarantine_s`.
+    Crashes are kept for the policy's `quarantine_s`, at most `CRASHES_MAX`.
     """
 
-    def __init__(self, *, service: str, poison: Poison):
+    def __init__(self, *, service: str, policy: QuarantinePolicy):
         self._service = service
-        self._poison = poison
+        self._policy = policy
         self._crashes: OrderedDict[str, _Crash] = OrderedDict()
         self._answered: OrderedDict[str, None] = OrderedDict()
         self._quarantined_until_s: dict[str, float] = {}
 
-    def reconfigure(self, poison: Poison) -> None:
-        """Put another document's rule in force."""
-        self._poison = poison
+    def reconfigure(self, policy: QuarantinePolicy) -> None:
+        """Apply the policy of a new service document."""
+        self._policy = policy
 
-    def crashed(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
-        """Take in a crash and return what is quarantined by it.
+    def record_crash(self, message: CrashEvidence, now_s: float) -> list[Quarantined]:
+        """Record a crash and return the quarantines that follow from it.
 
-        A crash that was told of before changes nothing.
+        A crash with an id that is already recorded changes nothing.
         """
-        self._forget_old(now_s)
+        self._expire(now_s)
         if message.crash_id in self._crashes:
             return []
         self._crashes[message.crash_id] = _Crash(
             upstream=message.upstream,
             fingerprints=frozenset(each for each in message.fingerprints if each),
-            at_s=now_s,
+            recorded_s=now_s,
         )
-        guilty = [
+        culprits = [
             each
             for each in sorted(self._crashes[message.crash_id].fingerprints)
-            if not self.quarantined(each, now_s) and self._guilty(each, now_s)
+            if not self.is_quarantined(each, now_s) and self._is_culprit(each, now_s)
         ]
-        for fingerprint in guilty:
-            self._hold(fingerprint, now_s + self._poison.quarantine_s)
+        for fingerprint in culprits:
+            self._quarantine(fingerprint, now_s + self._policy.quarantine_s)
         return [
             Quarantined(
                 service=self._service,
                 fingerprint=fingerprint,
-                ttl_s=self._poison.quarantine_s,
+                ttl_s=self._policy.quarantine_s,
             )
-            for fingerprint in guilty
+            for fingerprint in culprits
         ]
 
-    def answered(self, fingerprint: str) -> None:
-        """Note that an upstream answered this content whole."""
+    def record_answered(self, fingerprint: str) -> None:
+        """Record that an upstream answered this content completely."""
         self._answered[fingerprint] = None
         self._answered.move_to_end(fingerprint)
         if len(self._answered) > ANSWERED_MAX:
             self._answered.popitem(last=False)
 
-    def heard(self, message: Quarantined, now_s: float) -> None:
-        """Take over a verdict of another daemon."""
-        self._hold(message.fingerprint, now_s + message.ttl_s)
+    def apply_quarantine(self, message: Quarantined, now_s: float) -> None:
+        """Apply a quarantine that another daemon announced."""
+        self._quarantine(message.fingerprint, now_s + message.ttl_s)
 
-    def quarantined(self, fingerprint: str, now_s: float) -> bool:
-        """Return whether this content is refused."""
+    def is_quarantined(self, fingerprint: str, now_s: float) -> bool:
+        """Return whether this content is quarantined now."""
         return now_s < self._quarantined_until_s.get(fingerprint, now_s)
 
-    def _hold(self, fingerprint: str, until_s: float) -> None:
+    def _quarantine(self, fingerprint: str, until_s: float) -> None:
         known_s = self._quarantined_until_s.get(fingerprint, until_s)
         self._quarantined_until_s[fingerprint] = max(until_s, known_s)
 
-    def _guilty(self, fingerprint: str, now_s: float) -> bool:
+    def _is_culprit(self, fingerprint: str, now_s: float) -> bool:
         if fingerprint in self._answered:
             return False
-        crashes = self._unexplained(fingerprint, now_s)
+        crashes = self._unexplained_crashes(fingerprint, now_s)
         upstreams = {self._crashes[crash_id].upstream for crash_id in crashes}
-        if len(upstreams) < self._poison.upstreams_threshold:
+        if len(upstreams) < self._policy.upstreams_threshold:
             return False
-        rivals = self._rivals(fingerprint, crashes)
-        # Whatever ran in all of these crashes and in more explains them better.
-        if any(len(self._unexplained(each, now_s)) > len(crashes) for each in rivals):
+        others = self._other_suspects(fingerprint, crashes)
+        # Content that ran in all of these crashes and in others is more suspect.
+        if any(
+            len(self._unexplained_crashes(each, now_s)) > len(crashes)
+            for each in others
+        ):
             return False
-        enough = self._poison.upstreams_threshold + AMBIGUOUS_EXTRA
-        return not rivals or len(upstreams) >= enough
+        ambiguous_threshold = (
+            self._policy.upstreams_threshold + AMBIGUOUS_EXTRA_UPSTREAMS
+        )
+        return not others or len(upstreams) >= ambiguous_threshold
 
-    def _unexplained(self, fingerprint: str, now_s: float) -> set[str]:
-        """Return the crashes it ran in where nothing quarantined ran beside it.
+    def _unexplained_crashes(self, fingerprint: str, now_s: float) -> set[str]:
+        """Return the crashes in which it ran without other quarantined content.
 
-        Without this a bystander of a known culprit would need just one crash
-        of another cause to be condemned too.
+        If the rest counted, a bystander of a known culprit would be quarantined
+        after a single crash with another cause.
         """
         return {
             crash_id
             for crash_id, crash in self._crashes.items()
             if fingerprint in crash.fingerprints
             and not any(
-                self.quarantined(each, now_s)
+                self.is_quarantined(each, now_s)
                 for each in crash.fingerprints
                 if each != fingerprint
             )
         }
 
-    def _rivals(self, fingerprint: str, crashes: set[str]) -> set[str]:
-        """Return the other suspects that ran in all of these crashes."""
+    def _other_suspects(self, fingerprint: str, crashes: set[str]) -> set[str]:
+        """Return the other unanswered contents that ran in all of these crashes."""
         shared = [self._crashes[crash_id].fingerprints for crash_id in crashes]
         common = frozenset.intersection(*shared)
         return {
@@ -169,11 +176,11 @@
             if each != fingerprint and each not in self._answered
         }
 
-    def _forget_old(self, now_s: float) -> None:
-        kept_since_s = now_s - self._poison.quarantine_s
+    def _expire(self, now_s: float) -> None:
+        cutoff_s = now_s - self._policy.quarantine_s
         while self._crashes:
             oldest = next(iter(self._crashes.values()))
-            if oldest.at_s > kept_since_s and len(self._crashes) < CRASHES_MAX:
+            if oldest.recorded_s > cutoff_s and len(self._crashes) < CRASHES_MAX:
                 break
             self._crashes.popitem(last=False)
         self._quarantined_until_s = {
