--- a/features/direct_exchange.feature
+++ b/features/direct_exchange.feature
@@ -41,7 +41,7 @@
   Scenario: An idle connection is reused
     Given an upstream that sends "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole" and then "keeps"
     When a request is sent to it, twice
-    Then the upstream saw 1 connection
+    Then both outcomes are "complete" over 1 connection
 
   Scenario: Bytes follow a response
     A faulty upstream sends a second response. If it were parsed as the response to the
@@ -53,7 +53,7 @@
   Scenario: A connection is close to its idle limit
     Given an upstream that sends "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 5\r\n\r\nwhole" and then "keeps"
     When a request is sent to it, twice
-    Then the upstream saw 2 connections
+    Then both outcomes are "complete" over 2 connections
 
   Scenario: The caller leaves before the response
     Given an upstream that sends "" and then "keeps"
--- a/features/steps/direct_drain_steps.py
+++ b/features/steps/direct_drain_steps.py
@@ -8,7 +8,7 @@
     FewSlotsDispatcher,
     accepted_request,
     chunk,
-    handling_of,
+    handler_for,
     start_upstream,
     upstream_at,
 )
@@ -28,12 +28,12 @@
     context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
     # It must not run twice, so an upstream that runs it is awaited to the end.
     accepted = accepted_request(resumable=False, attempts_max=2)
-    context.handling = handling_of(accepted, context.dispatcher)
+    context.handler = handler_for(accepted, context.dispatcher)
 
 
 @when("it gets its response")
 def step_first(context):
-    context.answer = context.handling.handle()
+    context.answer = context.handler.handle()
 
 
 @then('it is the other upstream\'s stream, and the first attempt ended as "{outcome}"')
@@ -43,4 +43,4 @@
     assert context.dispatcher.outcomes[0] is AttemptOutcome(
         outcome
     ), context.dispatcher.outcomes
-    context.handling.close()
+    context.handler.close()
--- a/features/steps/direct_exchange_steps.py
+++ b/features/steps/direct_exchange_steps.py
@@ -10,10 +10,10 @@
 
 from lavenderspoke.clock import SystemClock
 from lavenderspoke.direct.exchange import (
+    CancelHandle,
     ConnectionPool,
     IncompleteResponse,
     NotSent,
-    RequestHandle,
 )
 from standins.processes import HOST, free_port
 
@@ -82,9 +82,9 @@
             self._over.wait()
 
 
-def send(context, handle: RequestHandle | None = None):
-    sent = context.connections.send(
-        handle=handle or RequestHandle(),
+def send(context, cancel_handle: CancelHandle | None = None):
+    sent = context.connection_pool.send(
+        cancel_handle=cancel_handle or CancelHandle(),
         method="GET",
         target="/a/../b?c=%2f",
         headers={"Host": "test"},
@@ -100,13 +100,13 @@
         if isinstance(error, NotSent):
             return "not sent"
         return "timed out" if error.timed_out else "no response"
-    exchange = sent.ok_value
+    response = sent.ok_value
     try:
-        body = exchange.read_all(time.monotonic() + within_s, SystemClock())
+        body = response.read_all(time.monotonic() + within_s, SystemClock())
     except IncompleteResponse as error:
-        exchange.close(keep=False)
+        response.close(keep=False)
         return "incomplete, timed out" if error.timed_out else "incomplete"
-    exchange.close(keep=True)
+    response.close(keep=True)
     assert body == b"whole", body
     return "complete"
 
@@ -116,10 +116,10 @@
     answer = text.encode().decode("unicode_escape").encode("latin-1")
     context.raw = RawUpstream(answer=answer, then=then)
     context.add_cleanup(context.raw.close)
-    context.connections = ConnectionPool(
+    context.connection_pool = ConnectionPool(
         host=HOST, port=context.raw.port, clock=SystemClock()
     )
-    context.add_cleanup(context.connections.close_idle)
+    context.add_cleanup(context.connection_pool.close_idle)
 
 
 @given('an upstream that sends "" and then "{then}"')
@@ -129,7 +129,7 @@
 
 @given("a port on which nothing listens")
 def step_no_listener(context):
-    context.connections = ConnectionPool(
+    context.connection_pool = ConnectionPool(
         host=HOST, port=free_port(), clock=SystemClock()
     )
 
@@ -146,22 +146,22 @@
 
 @when("a request is sent to it and cancelled after {ms:d} ms")
 def step_cancelled(context, ms):
-    handle = RequestHandle()
-    timer = threading.Timer(ms / 1000, handle.cancel)
+    cancel_handle = CancelHandle()
+    timer = threading.Timer(ms / 1000, cancel_handle.cancel)
     timer.start()
     began_s = time.monotonic()
-    context.outcomes = [outcome(send(context, handle))]
+    context.outcomes = [outcome(send(context, cancel_handle))]
     context.took_s = time.monotonic() - began_s
     timer.join()
 
 
 @when("a request is completed and cancelled afterwards")
 def step_cancelled_late(context):
-    handle = RequestHandle()
-    assert outcome(send(context, handle)) == "complete"
-    handle.detach()
+    cancel_handle = CancelHandle()
+    assert outcome(send(context, cancel_handle)) == "complete"
+    cancel_handle.detach()
     second = send(context)
-    handle.cancel()
+    cancel_handle.cancel()
     context.outcomes = [outcome(second)]
 
 
@@ -170,7 +170,7 @@
     answer = text.encode().decode("unicode_escape").encode("latin-1")
     context.raw = StalledUpstream(answer=answer)
     context.add_cleanup(context.raw.close)
-    context.connections = ConnectionPool(
+    context.connection_pool = ConnectionPool(
         host=HOST, port=context.raw.port, clock=SystemClock()
     )
 
@@ -188,8 +188,8 @@
         context.read_timeouts += 1
         return CONNECTION_TIMEOUT_MAX_S
 
-    sent = context.connections.send(
-        handle=RequestHandle(),
+    sent = context.connection_pool.send(
+        cancel_handle=CancelHandle(),
         method="POST",
         target="/",
         headers={"Host": "test"},
@@ -225,8 +225,8 @@
     assert context.raw.connections == count, context.raw.connections
 
 
-@then("the upstream saw {count:d} connection")
-@then("the upstream saw {count:d} connections")
+@then('both outcomes are "complete" over {count:d} connection')
+@then('both outcomes are "complete" over {count:d} connections')
 def step_connections(context, count):
     assert context.outcomes == ["complete", "complete"], context.outcomes
     assert context.raw.connections == count, context.raw.connections
--- a/features/steps/direct_handling_steps.py
+++ b/features/steps/direct_handling_steps.py
@@ -59,7 +59,7 @@
     def event_interval_measured(self, upstream, step_s) -> None:
         pass
 
-    def relocation_checked(self, look) -> None:
+    def relocation_checked(self, result) -> None:
         pass
 
 
@@ -70,7 +70,7 @@
 class FakeDialect:
     """Accepts every response as valid, and each 200 as a reservation."""
 
-    def upstream_headers(self, *, reservation, **said) -> dict[str, str]:
+    def upstream_headers(self, *, reservation, **_ignored) -> dict[str, str]:
         return {"Host": "test", "Reserved": reservation or "nothing"}
 
     def is_not_run(self, response) -> bool:
@@ -135,14 +135,14 @@
 
     def _send_parts(self, connection: socket.socket) -> None:
         for number, part in enumerate(self._parts):
-            if number and self._is_closed_in_pause(connection):
+            if number and self._pause_unless_closed(connection):
                 return
             connection.sendall(part)
         self._parts_sent.set()
         if self._then == "keeps":
             self._closes_within(connection, TIMEOUT_S)
 
-    def _is_closed_in_pause(self, connection: socket.socket) -> bool:
+    def _pause_unless_closed(self, connection: socket.socket) -> bool:
         until_s = time.monotonic() + self._pause_s
         while time.monotonic() < until_s and not self._pause_ended.is_set():
             if self._closes_within(connection, 0.01):
@@ -165,8 +165,8 @@
         super().__init__(upstream=upstreams[0])
         self.retries = 1
         self.held: list[Upstream] = []
-        # The outcomes known each time that a connection pool was requested.
-        self.ended_before: list[tuple[AttemptOutcome, ...]] = []
+        # The outcomes known before each request to an upstream.
+        self.outcomes_at_sends: list[tuple[AttemptOutcome, ...]] = []
         self._free = upstreams
 
     def submit(self, ticket) -> None:
@@ -187,7 +187,7 @@
         self._free.insert(0, upstream)
 
     def connection_pool(self, upstream) -> ConnectionPool:
-        self.ended_before.append(tuple(self.outcomes))
+        self.outcomes_at_sends.append(tuple(self.outcomes))
         return ConnectionPool(
             host=upstream.host, port=upstream.port, clock=SystemClock()
         )
@@ -259,7 +259,7 @@
     )
 
 
-def handling_of(
+def handler_for(
     accepted: AcceptedRequest, dispatcher: OneUpstreamDispatcher
 ) -> RequestHandler:
     return RequestHandler(
@@ -278,7 +278,7 @@
     context.add_cleanup(raw.close)
     context.dispatcher = OneUpstreamDispatcher(upstream=upstream_at(raw.port))
     accepted = accepted_request(resumable=False, attempts_max=1)
-    context.handling = handling_of(accepted, context.dispatcher)
+    context.handler = handler_for(accepted, context.dispatcher)
 
 
 def start_upstream(context, parts: list[bytes], pause_s: float, then: str, **more):
@@ -301,7 +301,7 @@
     context.first = start_upstream(context, [STREAM_HEAD + chunk(0)], 0.0, "ends")
 
 
-def begin(
+def create_handler(
     context,
     others: list[StepwiseUpstream],
     *,
@@ -316,25 +316,27 @@
     context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
     context.dispatcher.retries = retries
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.dispatcher)
+    context.handler = handler_for(accepted, context.dispatcher)
 
 
 @given("no other upstream has a free slot")
 def step_no_other(context):
-    begin(context, [])
+    create_handler(context, [])
 
 
 @given("another upstream has a free slot")
 def step_other(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
     context.other = start_upstream(context, rest, 0.0, "keeps")
-    begin(context, [context.other])
+    create_handler(context, [context.other])
 
 
 @given("another upstream that rejects requests")
 def step_rejecting(context):
     head = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-    begin(context, [start_upstream(context, [head], 0.0, "keeps", reserves=False)])
+    create_handler(
+        context, [start_upstream(context, [head], 0.0, "keeps", reserves=False)]
+    )
 
 
 @given("another upstream that reserves a slot once the first has continued")
@@ -343,7 +345,7 @@
     other = start_upstream(
         context, rest, 0.0, "keeps", before_reserving=context.first.end_pause
     )
-    begin(context, [other])
+    create_handler(context, [other])
 
 
 @given("another upstream that doesn't respond to a reservation")
@@ -352,7 +354,7 @@
     stopped = threading.Event()
     context.add_cleanup(stopped.set)
     other = start_upstream(context, rest, 0.0, "keeps", before_reserving=stopped.wait)
-    begin(context, [other])
+    create_handler(context, [other])
 
 
 @given("a resumable request at an upstream that responds after {pause_s:g} s")
@@ -363,7 +365,7 @@
 
 @given("another upstream that can't be reached")
 def step_other_unreachable(context):
-    begin(context, [], more=[upstream_at(free_port(), name="x")])
+    create_handler(context, [], more=[upstream_at(free_port(), name="x")])
 
 
 @given("a resumable request at an upstream that is silent after its first event")
@@ -399,49 +401,49 @@
     dispatcher.upstreams_changed((first,))
     patience_s = getattr(context, "patience_s", TIMEOUT_S)
     accepted = accepted_request(resumable=True, attempts_max=2, patience_s=patience_s)
-    context.handling = handling_of(accepted, dispatcher)
-    context.begun = context.handling.handle()
+    context.handler = handler_for(accepted, dispatcher)
+    context.begun = context.handler.handle()
     dispatcher.upstreams_changed((first, upstream_at(other.port, name="other")))
 
 
 @given("another upstream has a free slot, and no retry is left")
 def step_no_retry(context):
     rest = [STREAM_HEAD + chunk(1) + STREAM_END]
-    begin(context, [start_upstream(context, rest, 0.0, "keeps")], retries=0)
+    create_handler(context, [start_upstream(context, rest, 0.0, "keeps")], retries=0)
 
 
 @given("another upstream has a free slot, and sends nothing for {pause_s:g} s")
 def step_silent_other(context, pause_s):
     parts = [b"", STREAM_HEAD + chunk(1) + STREAM_END]
-    begin(context, [start_upstream(context, parts, pause_s, "keeps")])
+    create_handler(context, [start_upstream(context, parts, pause_s, "keeps")])
 
 
 @when("its stream is read to the end")
 def step_read_to_the_end(context):
     began_s = time.monotonic()
-    answer = getattr(context, "begun", None) or context.handling.handle()
+    answer = getattr(context, "begun", None) or context.handler.handle()
     context.events = b"".join(answer.chunks)
-    context.handling.close()
+    context.handler.close()
     context.took_s = time.monotonic() - began_s
 
 
 @when("its stream is read until it breaks off")
 def step_read_until_error(context):
-    answer = context.handling.handle()
+    answer = context.handler.handle()
     try:
         for _ in answer.chunks:
             pass
     except IncompleteResponse as error:
         context.error = str(error)
-    context.handling.close()
+    context.handler.close()
 
 
 @then('the error is "{text}", after relocations that ended as "{result}"')
 def step_error_after_relocations(context, text, result):
     assert context.error == text, context.error
-    assert set(context.handling.relocation.results) == {
+    assert set(context.handler.relocation.results) == {
         result
-    }, context.handling.relocation.results
+    }, context.handler.relocation.results
 
 
 @then("its caller has events 0 and 1, and it ran at {count:d} upstream")
@@ -454,14 +456,14 @@
 def step_events_to(context, last, count):
     events = b"".join(b"id: %d\ndata: a\n\n" % n for n in range(last + 1))
     assert context.events == events, context.events
-    assert context.handling.runs == count, context.handling.trail
+    assert context.handler.possible_runs == count, context.handler.trail
 
 
 @then("the first attempt ended before the other upstream got the request")
 def step_ended_first(context):
     # Each got the request once, and the other a reservation before that.
-    ended_before = context.dispatcher.ended_before
-    assert ended_before == [(), (), (AttemptOutcome.SILENT,)], ended_before
+    outcomes_at_sends = context.dispatcher.outcomes_at_sends
+    assert outcomes_at_sends == [(), (), (AttemptOutcome.SILENT,)], outcomes_at_sends
 
 
 @then("the other got the request with the slot that it had reserved")
@@ -490,13 +492,13 @@
     context.dispatcher = FewSlotsDispatcher(upstreams=upstreams)
     context.dispatcher.retries = 0
     accepted = accepted_request(resumable=True, attempts_max=2)
-    context.handling = handling_of(accepted, context.dispatcher)
+    context.handler = handler_for(accepted, context.dispatcher)
 
 
 @given("another upstream streams its response")
 def step_streams(context):
     stream = [STREAM_HEAD + chunk(0) + chunk(1) + STREAM_END]
-    begin(context, [start_upstream(context, stream, 0.0, "keeps")])
+    create_handler(context, [start_upstream(context, stream, 0.0, "keeps")])
 
 
 @when("its caller leaves while a connection is made")
@@ -504,12 +506,12 @@
     connections = context.dispatcher.connection_pool
 
     def leave_then_connect(upstream):
-        context.handling.cancel()
+        context.handler.cancel()
         return connections(upstream)
 
     context.dispatcher.connection_pool = leave_then_connect
-    context.handling.handle()
-    context.handling.close()
+    context.handler.handle()
+    context.handler.close()
 
 
 @then('the first attempt ended as "{outcome}"')
@@ -537,26 +539,26 @@
 @then('a relocation ended as "{result}"')
 def step_relocation_result(context, result):
     assert (
-        result in context.handling.relocation.results
-    ), context.handling.relocation.results
+        result in context.handler.relocation.results
+    ), context.handler.relocation.results
 
 
 @when("its first event has arrived and the request is closed unread")
 def step_closed(context):
-    context.handling.handle()
-    context.handling.close()
+    context.handler.handle()
+    context.handler.close()
 
 
 @when("its first event has arrived and its caller leaves")
 def step_leaves(context):
-    context.answer = context.handling.handle()
+    context.answer = context.handler.handle()
     assert next(context.answer.chunks).startswith(b"id: 0")
-    context.handling.cancel()
+    context.handler.cancel()
 
 
 @when("its stream is read")
 def step_read(context):
-    context.answer = context.handling.handle()
+    context.answer = context.handler.handle()
 
 
 @then('its slot was released once, as "{outcome}"')
--- a/features/steps/refused_resources_steps.py
+++ b/features/steps/refused_resources_steps.py
@@ -20,7 +20,7 @@
 from standins.processes import HOST, free_port, wait_until
 
 # A started entry has more.
-THREADS_ALL = 120
+THREADS_STARTED_MIN = 120
 # A library's own threads get the system's stack size, which here is all of the address
 # space; the entry's threads have a small stack.
 SPACE_BYTES = 4 * 1024**3
@@ -36,7 +36,7 @@
 def step_sigill(context):
     context.entry = context.platform.entries["entry-1"]
     pid = context.entry.process.pid
-    wait_until(lambda: threads_of(pid) > THREADS_ALL, WAIT_S, "all threads run")
+    wait_until(lambda: threads_of(pid) > THREADS_STARTED_MIN, WAIT_S, "all threads run")
     os.kill(pid, signal.SIGILL)
 
 
--- a/features/steps/upstream_restarts_steps.py
+++ b/features/steps/upstream_restarts_steps.py
@@ -13,7 +13,7 @@
 from features.steps.direct_exchange_steps import RawUpstream
 from lavenderspoke.clock import ManualClock, SystemClock
 from lavenderspoke.codec import Codec
-from lavenderspoke.direct.exchange import RequestHandle
+from lavenderspoke.direct.exchange import CancelHandle
 from lavenderspoke.direct.inforce import CatalogInForce
 from lavenderspoke.direct.messages import DirectMessage
 from lavenderspoke.direct.office import DirectDispatcher
@@ -132,7 +132,7 @@
     def send() -> None:
         context.sent.append(
             pool.send(
-                handle=RequestHandle(),
+                cancel_handle=CancelHandle(),
                 method="GET",
                 target="/",
                 headers={"Host": "test"},
@@ -155,7 +155,10 @@
     assert isinstance(sent, Err) and not sent.err_value.timed_out, sent
 
 
-@when('content "{content}" breaks there, and the record names incarnation {born:d}')
+@when(
+    'content "{content}" breaks a response there, '
+    "and the record names incarnation {born:d}"
+)
 def step_crash(context, content, born):
     crashes = context.dispatcher._upstream_monitor.crashes
     crashes.record_broken_answer(
@@ -189,7 +192,9 @@
     assert upstream_ids(registry) == ["a@2000"]
 
 
-@then("a second record of that incarnation is accepted, since a clock may go back")
+@then(
+    "a second record of that incarnation is accepted, since its clock may be set back"
+)
 def step_second(context):
     context.registry.apply((record("a", 5, value(born=1000)),), 0.0)
     assert upstream_ids(context.registry) == ["a@1000"]
--- a/features/upstream_restarts.feature
+++ b/features/upstream_restarts.feature
@@ -1,6 +1,6 @@
 Feature: Upstreams that restart under their names, and records of other writers
   What was learned of one incarnation of an upstream doesn't apply to the next, and
-  records of other writers among those of the upstreams add none.
+  foreign records under the upstreams' keys are ignored.
 
   Scenario: A new incarnation starts without the history of the previous one
     A slow and failing engine was suspended. It crashes and restarts under its name at
@@ -23,15 +23,15 @@
     The same content crashes two incarnations of one upstream. If they were counted as
     one crash, it would crash a third upstream before it is refused.
     Given an entry that knows incarnation 1000 of upstream "u"
-    When content "culprit" breaks there, and the record names incarnation 2000
-    And content "culprit" breaks there, and the record names incarnation 3000
+    When content "culprit" breaks a response there, and the record names incarnation 2000
+    And content "culprit" breaks a response there, and the record names incarnation 3000
     Then content "culprit" is refused
 
   Scenario: A record of an earlier incarnation is written late
     An engine's last record before its crash reaches the store after the first one of
     its new incarnation. Taken for another restart, it would abort all requests there.
     Then an earlier incarnation's record changes nothing
-    And a second record of that incarnation is accepted, since a clock may go back
+    And a second record of that incarnation is accepted, since its clock may be set back
 
   Scenario: Records of another writer
     Then none of these adds an upstream, and the others stay
--- a/lavenderspoke/direct/app.py
+++ b/lavenderspoke/direct/app.py
@@ -1,7 +1,8 @@
 """The WSGI application of an entry that dispatches directly.
 
 It checks on arrival what it can (route, key, limit), passes the request to a
-`RequestHandler` and writes the response, either complete or visibly broken off.
+`RequestHandler` and writes the response. A response that can't be completed is cut off,
+so that its caller notices.
 """
 
 import hashlib
@@ -39,7 +40,8 @@
 # A request's deadline lies this much, in seconds, before the route's timeout, so that
 # its response is sent in time.
 TIMEOUT_MARGIN_S = 0.05
-OWN_HEADERS = frozenset(("content-length", "date", "server"))
+# Headers that this server writes itself; an upstream's are dropped.
+SERVER_HEADERS = frozenset(("content-length", "date", "server"))
 
 ANSWERS_METRIC = "direct_answers"
 FIRST_BYTE_METRIC = "direct_first_byte_s"
@@ -65,15 +67,15 @@
     retry_after_s: float | None = None
     detail: str = ""
     handler: RequestHandler | None = None
-    responded_s: float | None = None
+    response_began_s: float | None = None
 
 
 class DirectApp:
     """The application; cheroot calls it on many threads.
 
     While `draining` it closes connections after a response, so that callers reconnect
-    elsewhere. While `refusing` it accepts no requests, since a long one could not be
-    finished.
+    elsewhere. While `refusing`, later in the stop, it accepts no requests, since a long
+    one might not end in time.
     """
 
     def __init__(
@@ -111,7 +113,7 @@
         try:
             yield from self._handle(http_request, start_response, record)
         finally:
-            self._log_request(record)
+            self._log_and_count(record)
 
     def _handle(
         self,
@@ -119,10 +121,10 @@
         start_response: StartResponse,
         record: _RequestRecord,
     ) -> Iterator[bytes]:
-        # Makes callers on persistent connections reconnect elsewhere.
         http_request.close_connection |= self.draining
         accepted = self._accept(http_request, record)
         if isinstance(accepted, Err):
+            # The rest of the body would be parsed as the next request.
             http_request.close_connection |= _has_unread_body(http_request)
             yield self._refuse(start_response, accepted.err_value, record)
             return
@@ -148,10 +150,10 @@
         record: _RequestRecord,
     ) -> Iterator[bytes]:
         result = handler.handle()
-        record.responded_s = self._clock.monotonic_s()
+        record.response_began_s = self._clock.monotonic_s()
         accepted = handler.accepted
         if isinstance(result, Problem):
-            self._dispatcher.note_refusal(accepted, ran=result.ran)
+            self._dispatcher.record_refusal(accepted, ran=result.ran)
             if handler.caller_gone:
                 result = attrs.evolve(result, reason=Reason.CALLER_GONE)
             yield self._refuse(start_response, result, record)
@@ -178,6 +180,7 @@
             problempage.status_line(response.status),
             _response_headers(response.headers, None),
         )
+        # Stays if the server closes this generator because the caller has gone.
         record.outcome = Reason.CALLER_GONE.value
         try:
             yield from response.chunks
@@ -297,14 +300,15 @@
         start_response(page.status, list(page.headers))
         return page.body
 
-    def _log_request(self, record: _RequestRecord) -> None:
+    def _log_and_count(self, record: _RequestRecord) -> None:
         now_s = self._clock.monotonic_s()
+        # The outcome is empty if an exception ended the request.
         self._metrics.count(ANSWERS_METRIC, record.outcome or OUTCOME_BROKEN)
         handler = record.handler
-        if handler is not None and record.responded_s is not None:
+        if handler is not None and record.response_began_s is not None:
             accepted = handler.accepted
             tier = str(accepted.route.rank)
-            first_byte_s = record.responded_s - record.arrived_s
+            first_byte_s = record.response_began_s - record.arrived_s
             self._metrics.observe(
                 FIRST_BYTE_METRIC, accepted.service, tier, first_byte_s
             )
@@ -324,7 +328,7 @@
             detail=record.detail,
             silence_looks=dict(handler.relocation.results) if handler else {},
             waited_s=round(handler.waited_s, 4) if handler else None,
-            first_s=_elapsed_s(record.responded_s, record.arrived_s),
+            first_s=_elapsed_s(record.response_began_s, record.arrived_s),
             whole_s=_elapsed_s(now_s, record.arrived_s),
         )
 
@@ -341,14 +345,14 @@
 
 def _response_headers(headers: Headers, length: int | None) -> list[tuple[str, str]]:
     """Return the headers for the caller; a body of unknown length is sent chunked."""
-    result = list(end_to_end(headers, OWN_HEADERS))
+    result = list(end_to_end(headers, SERVER_HEADERS))
     if length is not None:
         result.append(("Content-Length", str(length)))
     return result
 
 
 def _fingerprint(head: RequestHead, customer: Customer | None, body: bytes) -> str:
-    """Return a hash that a caller's resubmission of a request shares with it."""
+    """Return a hash by which a resubmitted request is recognised."""
     name = customer.name if customer else ""
     text = f"{name}\0{head.method}\0{head.host}\0{head.target}\0".encode()
     return hashlib.blake2b(text + body, digest_size=12).hexdigest()
--- a/lavenderspoke/direct/dialect.py
+++ b/lavenderspoke/direct/dialect.py
@@ -41,7 +41,7 @@
 
     @property
     def total_tokens(self) -> int | None:
-        """The prompt and the longest answer together, or None if not stated."""
+        """The prompt and the longest answer that is stated; None without a prompt."""
         if self.prompt_tokens is None:
             return None
         return self.prompt_tokens + (self.max_output_tokens or 0)
@@ -102,7 +102,7 @@
     def reservation_request(
         self, *, head: RequestHead, upstream: Upstream
     ) -> ControlRequest:
-        """Return the request that reserves a slot for one that follows at once."""
+        """Return the request that reserves a slot for a request sent right after."""
 
     def parse_reservation(self, response: UpstreamResponse, body: bytes) -> str | None:
         """Return the id of the reserved slot, or None if none was reserved."""
--- a/lavenderspoke/direct/dispatcher.py
+++ b/lavenderspoke/direct/dispatcher.py
@@ -73,7 +73,7 @@
 
 
 class RelocationResult(enum.Enum):
-    """The result of an attempt to relocate a request."""
+    """What came of trying to relocate a request."""
 
     FOUND = "found"
     NO_RETRY = "no_retry"
@@ -116,10 +116,10 @@
         """Return a retry that was taken and not used."""
 
     def relocation_checked(self, result: RelocationResult) -> None:
-        """Count the result of an attempt to relocate a request."""
+        """Count the result of trying to relocate a request."""
 
     def stream_completed(self, ticket: Ticket, steps: int) -> None:
-        """Record the steps of a complete stream, its first event included."""
+        """Record the steps of a complete stream, its reads that brought events."""
 
     def event_interval_measured(self, upstream: Upstream, step_s: float) -> None:
         """Record the time between two events of a stream, in seconds."""
--- a/lavenderspoke/direct/exchange.py
+++ b/lavenderspoke/direct/exchange.py
@@ -24,8 +24,8 @@
 from lavenderspoke.clock import Clock
 from lavenderspoke.http.hopbyhop import Headers
 
-# In seconds; short enough that another upstream can still be tried. A handshake takes a
-# few milliseconds within a data centre and some ten between data centres.
+# Timeout of a TCP connect, in seconds; short enough that another upstream can still be
+# tried. A handshake takes a few milliseconds within a data centre and some ten between.
 CONNECT_TIMEOUT_S = 0.4
 # How long data may stay unacknowledged before the connection is given up, in
 # milliseconds, the unit of TCP_USER_TIMEOUT.
@@ -35,12 +35,12 @@
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# A connection is not used during this time, in seconds, before its idle limit: the
-# request would cross the upstream's close.
-IDLE_MARGIN_S = 1.0
+# A connection is not reused during this time, in seconds, before its idle limit, since
+# the upstream might close it while the request is on its way.
+REUSE_MARGIN_S = 1.0
 # Idle limit in seconds if the upstream states none.
 IDLE_LIMIT_DEFAULT_S = 4.0
-READ_MAX_BYTES = 64 * 1024
+READ_BYTES_MAX = 64 * 1024
 
 SOCKET_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -60,14 +60,14 @@
 log = logbook.Logger(__name__)
 
 
-def stop_waiting() -> float:
+def no_extension() -> float:
     """Give up at the first read timeout."""
     return 0.0
 
 
 @attrs.frozen(kw_only=True)
 class NotSent:
-    """No connection was made, so the request has not run."""
+    """Nothing was sent, so the request has not run."""
 
     detail: str
 
@@ -81,7 +81,7 @@
 
 
 class IncompleteResponse(Exception):
-    """A response ended before it was complete, or a read of it timed out."""
+    """A response can't be used to its end: it broke off, timed out or is invalid."""
 
     def __init__(self, detail: str, *, timed_out: bool = False):
         super().__init__(detail)
@@ -103,13 +103,14 @@
 
     def readinto(self, buffer):
         if self.has_response_ended:
+            # "Would block", so that `peek` returns only what is buffered.
             return None
         self._checkClosed()
         while True:
             try:
                 return self._sock.recv_into(buffer)
             except TimeoutError as error:
-                if _is_connection_timeout(error):
+                if _has_kernel_timed_out(error):
                     raise
                 extra_s = self.on_read_timeout()
                 if extra_s <= 0.0:
@@ -121,9 +122,11 @@
     """An HTTP response that detects bytes after its end."""
 
     def __init__(
-        self, sock, *args, on_read_timeout: OnReadTimeout = stop_waiting, **kwargs
+        self, sock, *args, on_read_timeout: OnReadTimeout = no_extension, **kwargs
     ):
         super().__init__(sock, *args, **kwargs)
+        # Replaces the reader that the base class opened. The socket counts its readers,
+        # and closes only after the last of them.
         self.fp.close()
         self._reader = _SocketReader(sock, on_read_timeout)
         sock._io_refs += 1
@@ -131,8 +134,8 @@
         self.has_extra_bytes = False
 
     def _close_conn(self):
-        # Bytes buffered beyond this response would be lost with the reader, and the
-        # rest would be parsed as the start of the next response.
+        # With bytes after this response, the connection must not be reused: they would
+        # be parsed as the start of the next response.
         self._reader.has_response_ended = True
         self.has_extra_bytes = bool(self.fp.peek(1))
         super()._close_conn()
@@ -147,8 +150,8 @@
 class UpstreamResponse:
     """A response whose head has arrived.
 
-    `read` returns the next bytes as they arrive, and none after a complete response.
-    When its timeout expires, `on_read_timeout` may grant more time.
+    `read` returns the next bytes, and b"" after a complete response. When a read times
+    out, `on_read_timeout` may grant more time.
     """
 
     def __init__(self, *, connection: HTTPConnection, response, pool: "ConnectionPool"):
@@ -156,7 +159,7 @@
         self.headers: Headers = tuple(response.headers.items())
         self._connection = connection
         self._response = response
-        # Kept because the connection drops it if this is its last response.
+        # Kept here because a connection that closes after this response drops it.
         self._socket = self._http_response()._reader._sock
         self._pool = pool
         self._is_complete = False
@@ -166,14 +169,17 @@
         return self._response.headers.get(name, "")
 
     def read(self, timeout_s: float) -> bytes:
-        """Return the next bytes, waiting `timeout_s`; raises IncompleteResponse."""
+        """Return the next bytes; raises IncompleteResponse.
+
+        It waits at most `timeout_s`, and for as long as `on_read_timeout` adds.
+        """
         if self._is_complete:
             return b""
         try:
             self._socket.settimeout(max(0.001, timeout_s))
-            data = self._http_response().read1(READ_MAX_BYTES)
+            data = self._http_response().read1(READ_BYTES_MAX)
         except TimeoutError as error:
-            detail = str(error) if _is_connection_timeout(error) else "read timed out"
+            detail = str(error) if _has_kernel_timed_out(error) else "read timed out"
             raise IncompleteResponse(detail, timed_out=True) from error
         except (http.client.HTTPException, OSError, ValueError) as error:
             raise IncompleteResponse(f"{type(error).__name__}: {error}") from error
@@ -182,26 +188,29 @@
         return data
 
     def read_all(self, deadline_s: float, clock: Clock) -> bytes:
-        """Return the rest of the body; raises IncompleteResponse."""
+        """Return the rest of the body; raises IncompleteResponse.
+
+        `on_read_timeout` may extend each read beyond `deadline_s`.
+        """
         parts = []
         while data := self.read(deadline_s - clock.monotonic_s()):
             parts.append(data)
         return b"".join(parts)
 
-    def has_unread_data(self) -> bool:
-        """Return whether unread data or the end of the stream has arrived."""
-        return _has_unread_data(self._socket)
+    def is_readable(self) -> bool:
+        """Return whether a read would return at once: data, the end or an error."""
+        return _is_readable(self._socket)
 
     def enforce_read_timeouts(self) -> None:
         """Stop extending reads that time out."""
-        self._http_response()._reader.on_read_timeout = stop_waiting
+        self._http_response()._reader.on_read_timeout = no_extension
 
     def cancel(self) -> None:
-        """Abort it, from any thread; its reader gets IncompleteResponse."""
+        """Abort the response, from any thread; `read` raises once data runs out."""
         _shut_down(self._socket)
 
     def close(self, *, keep: bool) -> None:
-        """Release the connection, or close it unless `keep` and it is reusable."""
+        """Release the connection if `keep` is set and it is reusable, else close it."""
         reusable = (
             keep
             and self._is_complete
@@ -226,7 +235,7 @@
         return self._response._original_response
 
 
-class RequestHandle:
+class CancelHandle:
     """Lets another thread cancel a request in flight."""
 
     def __init__(self):
@@ -244,13 +253,13 @@
             elif self._connection is not None and self._connection.sock is not None:
                 _shut_down(self._connection.sock)
 
-    def has_unread_data(self) -> bool:
-        """Return whether unread data of the response has arrived."""
+    def is_readable(self) -> bool:
+        """Return whether a read would return at once: data, the end or an error."""
         with self._lock:
             if self._response is not None:
-                return self._response.has_unread_data()
+                return self._response.is_readable()
             sock = self._connection.sock if self._connection is not None else None
-            return sock is not None and _has_unread_data(sock)
+            return sock is not None and _is_readable(sock)
 
     def detach(self) -> None:
         """Let go of the connection, which may serve another request from now on.
@@ -263,7 +272,7 @@
     def attach(
         self, connection: HTTPConnection | None, response: UpstreamResponse | None
     ) -> bool:
-        """Set what `cancel` aborts; return False if it was called before."""
+        """Set what `cancel` aborts; return False if `cancel` was called before."""
         with self._lock:
             self._connection = connection
             self._response = response
@@ -284,19 +293,19 @@
     def send(
         self,
         *,
-        handle: RequestHandle,
+        cancel_handle: CancelHandle,
         method: str,
         target: str,
         headers: Mapping[str, str],
         body: bytes,
         head_timeout_s: float,
-        on_read_timeout: OnReadTimeout = stop_waiting,
+        on_read_timeout: OnReadTimeout = no_extension,
     ) -> Result[UpstreamResponse, NotSent | NoResponse]:
         """Send a request and wait for the response head.
 
         `on_read_timeout` is also called when a read of the body times out.
         """
-        connection = self._idle_connection()
+        connection = self._take_idle_connection()
         if connection is None:
             opened = self._open()
             if opened.is_err():
@@ -304,7 +313,7 @@
             connection = opened.ok_value
         with self._lock:
             self._busy.add(connection)
-        if not handle.attach(connection, None):
+        if not cancel_handle.attach(connection, None):
             self.discard(connection)
             return Err(NotSent(detail="the caller has gone"))
         connection.response_class = functools.partial(
@@ -315,16 +324,16 @@
         )
         if sent.is_err():
             self.discard(connection)
-            handle.attach(None, None)
+            cancel_handle.attach(None, None)
             return sent
         response = sent.ok_value
-        if not handle.attach(connection, response):
+        if not cancel_handle.attach(connection, response):
             response.cancel()
         return sent
 
     def release(self, connection: HTTPConnection, keep_alive: str) -> None:
         """Keep a connection for reuse until shortly before its idle limit."""
-        idle_s = _keep_alive_s(keep_alive) - IDLE_MARGIN_S
+        idle_s = _keep_alive_s(keep_alive) - REUSE_MARGIN_S
         if idle_s <= 0.0:
             self.discard(connection)
             return
@@ -355,7 +364,7 @@
         for sock in sockets:
             _shut_down(sock)
 
-    def _idle_connection(self) -> HTTPConnection | None:
+    def _take_idle_connection(self) -> HTTPConnection | None:
         now_s = self._clock.monotonic_s()
         while True:
             with self._lock:
@@ -427,14 +436,14 @@
     return IDLE_LIMIT_DEFAULT_S
 
 
-def _has_unread_data(sock: socket.socket) -> bool:
+def _is_readable(sock: socket.socket) -> bool:
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
-def _is_connection_timeout(error: TimeoutError) -> bool:
-    """Return whether the kernel timed out the connection, not just this read.
+def _has_kernel_timed_out(error: TimeoutError) -> bool:
+    """Return whether TCP_USER_TIMEOUT or keep-alive probes ended the connection.
 
     The socket reports this once. Another read would return the end of the stream, and a
     truncated response of unknown length would pass for a complete one.
@@ -447,4 +456,4 @@
         sock.shutdown(socket.SHUT_RDWR)
     except OSError as error:
         # Closed or reset already, so nothing is left to do.
-        log.debug("socket was already closed", error=str(error))
+        log.debug("socket not shut down", error=str(error))
--- a/lavenderspoke/direct/handling.py
+++ b/lavenderspoke/direct/handling.py
@@ -23,10 +23,10 @@
     StreamResponse,
 )
 from lavenderspoke.direct.exchange import (
+    CancelHandle,
     IncompleteResponse,
     NoResponse,
     NotSent,
-    RequestHandle,
     UpstreamResponse,
 )
 from lavenderspoke.direct.instances import Upstream
@@ -40,24 +40,24 @@
 from lavenderspoke.http.eventstream import Events, EventSplitter, EventTooLong
 from lavenderspoke.problems import Problem
 
-# How long an upstream may be silent, in seconds, before its request moves to another
-# one with a free slot; well under the two seconds after which callers leave.
+# The shortest read timeout, in seconds, before a relocation is tried; well under the
+# two seconds after which callers leave.
 READ_TIMEOUT_MIN_S = 1.4
-# The same as a multiple of the expected time to the first byte, so that the prefill of
-# a long prompt, repeated after the upstream ran out of memory, doesn't time out.
+# The read timeout is at least this multiple of the expected time to the first byte. An
+# upstream that ran out of memory repeats the prefill, which must not time out.
 READ_TIMEOUT_FACTOR = 3.0
-# Interval, in seconds, between two attempts to relocate a request.
+# Interval, in seconds, between two relocations that are tried for a request.
 RELOCATION_INTERVAL_S = 0.3
-# The most time, in seconds, that a relocation and what follows it take; with less left,
-# a request stays where it is.
-RELOCATION_TIME_MAX_S = 0.8
-# The most unreachable upstreams of a request for which no retry is taken from the
-# budget; each may cost up to the connect timeout.
+# Least time until the deadline, in seconds, for a relocation and what follows it; with
+# less left, a request stays where it is.
+RELOCATION_REMAINING_MIN_S = 0.8
+# How many unreachable upstreams a request may meet before an attempt is charged to the
+# retry budget; each may cost up to the connect timeout.
 FREE_RETRIES_MAX = 3
 # Least remaining time, in seconds, for another attempt.
 ATTEMPT_MIN_S = 0.1
-# Timeout for the body of a short response after its head, in seconds.
-DRAIN_TIMEOUT_S = 0.3
+# Timeout for reading and discarding the body of a refusal, in seconds.
+DISCARD_TIMEOUT_S = 0.3
 
 # Outcomes that prove that an attempt did not run.
 NOT_RUN_OUTCOMES = (
@@ -71,10 +71,10 @@
 
 @attrs.define(kw_only=True)
 class _Attempt:
-    """One attempt at one upstream and its result so far."""
+    """One attempt at one upstream and its outcome so far."""
 
     slot: HeldSlot
-    handle: RequestHandle
+    cancel_handle: CancelHandle
     response: UpstreamResponse | None = None
     outcome: AttemptOutcome | None = None
     detail: str = ""
@@ -101,7 +101,7 @@
     ):
         self.accepted = accepted
         self.trail: list[str] = []
-        self.runs = 0
+        self.possible_runs = 0
         self.waited_s = 0.0
         self._dispatcher = dispatcher
         self._dialect = dialect
@@ -109,7 +109,7 @@
         self._lock = threading.Lock()
         self._caller_gone = False
         self._ticket: Ticket | None = None
-        self._request_handle: RequestHandle | None = None
+        self._cancel_handle: CancelHandle | None = None
         self._current: _Attempt | None = None
         self._decided = threading.Event()
         self._decision: Decision | None = None
@@ -125,19 +125,19 @@
             clock=clock,
             find_free_slot=lambda: self._acquire_slot(may_wait=False),
         )
-        # An upstream's error response, returned if no other one responds better.
+        # An upstream's error response, returned if no later attempt gets a response.
         self._error_response: FullResponse | None = None
 
     def cancel(self) -> None:
         """Stop all work because the caller has gone; callable from any thread."""
         with self._lock:
             self._caller_gone = True
-            ticket, request_handle = self._ticket, self._request_handle
+            ticket, cancel_handle = self._ticket, self._cancel_handle
         if ticket is not None:
             self._dispatcher.withdraw(ticket)
         self._decided.set()
-        if request_handle is not None:
-            request_handle.cancel()
+        if cancel_handle is not None:
+            cancel_handle.cancel()
 
     def close(self) -> None:
         """End what is still in progress; must always be called.
@@ -173,17 +173,17 @@
         slot = self.relocation.take_slot() or self._acquire_slot(may_wait=True)
         if slot is None:
             return no_slot_available(self._decision, may_have_run=self._may_have_run)
-        attempt = _Attempt(slot=slot, handle=RequestHandle())
+        attempt = _Attempt(slot=slot, cancel_handle=CancelHandle())
         self._current = attempt
         with self._lock:
-            self._request_handle = attempt.handle
+            self._cancel_handle = attempt.cancel_handle
             gone = self._caller_gone
         # Time has passed in the queue, and the machine may have been suspended.
         remaining_s = self._remaining_s()
         if gone or remaining_s < ATTEMPT_MIN_S:
             self._end_attempt(attempt, AttemptOutcome.LEFT)
             return deadline_exceeded(
-                "deadline expired in the queue", may_have_run=self._may_have_run
+                "too little time left to send", may_have_run=self._may_have_run
             )
         self._send(attempt, remaining_s)
         return attempt
@@ -211,9 +211,9 @@
             patience_s=accepted.route.patience_s,
             resubmitted=accepted.resubmitted or self._may_have_run or bool(self._tried),
             on_decision=self._on_decision,
-            excluded=self._tried | self.relocation.declined,
+            excluded=self._tried | self.relocation.excluded,
             may_wait=may_wait,
-            retryable=self._may_run_again(uncounted=1),
+            retryable=self._may_run_again(pending_runs=1),
         )
         with self._lock:
             self._decided.clear()
@@ -243,10 +243,10 @@
             customer=accepted.customer.name if accepted.customer else None,
             remaining_s=remaining_s,
             last_event_id=self._last_event_id,
-            reservation=attempt.slot.reservation,
+            reservation=attempt.slot.reservation_id,
         )
         sent = self._dispatcher.connection_pool(upstream).send(
-            handle=attempt.handle,
+            cancel_handle=attempt.cancel_handle,
             method=accepted.head.method,
             target=accepted.head.target,
             headers=headers,
@@ -265,13 +265,14 @@
     ) -> None:
         attempt.detail = error.detail
         if isinstance(error, NotSent):
-            # If cancelled because its caller left, it says nothing of the upstream.
+            # A connect that the caller's leaving cancelled proves nothing about the
+            # upstream.
             outcome = (
                 AttemptOutcome.LEFT if self._caller_gone else AttemptOutcome.UNREACHABLE
             )
             self._end_attempt(attempt, outcome)
             return
-        self._note_run()
+        self._record_possible_run()
         outcome = AttemptOutcome.SILENT if error.timed_out else AttemptOutcome.BROKEN
         self._end_attempt(
             attempt, AttemptOutcome.LEFT if self._caller_gone else outcome
@@ -282,32 +283,32 @@
         if self._dialect.is_misdirected(response):
             self._end_attempt(attempt, AttemptOutcome.MISDIRECTED)
         elif self._dialect.is_not_run(response):
-            self._drain_body(response)
+            self._discard_body(response)
             self._end_attempt(attempt, AttemptOutcome.NOT_RUN)
         elif not self._dialect.is_valid_response(response, self.accepted.head):
             # The response of another request, or bytes that resemble one. This
             # request was sent, so it may run nevertheless.
-            self._note_run()
+            self._record_possible_run()
             attempt.detail = f"invalid response, status {response.status}"
             self._end_attempt(attempt, AttemptOutcome.FAILED)
         else:
-            self._note_run()
+            self._record_possible_run()
 
-    def _drain_body(self, response: UpstreamResponse) -> None:
-        """Read a short response to its end, so that its connection can be reused."""
+    def _discard_body(self, response: UpstreamResponse) -> None:
+        """Discard a body for a short time; if it ends, its connection can be reused."""
         response.enforce_read_timeouts()
-        deadline_s = self._clock.monotonic_s() + DRAIN_TIMEOUT_S
+        deadline_s = self._clock.monotonic_s() + DISCARD_TIMEOUT_S
         try:
             response.read_all(deadline_s, self._clock)
         except IncompleteResponse as error:
-            log.debug("incomplete refusal", error=str(error))
+            log.debug("upstream's refusal is incomplete", error=str(error))
 
     def _end_attempt(self, attempt: _Attempt, outcome: AttemptOutcome) -> None:
         """End the attempt; further calls do nothing."""
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
-        attempt.handle.detach()
+        attempt.cancel_handle.detach()
         self.trail.append(f"{attempt.upstream.upstream_id}:{outcome.value}")
         if attempt.response is not None:
             keep = outcome in (
@@ -320,14 +321,14 @@
             attempt.ticket, attempt.upstream, self.accepted, outcome
         )
 
-    def _note_run(self) -> None:
+    def _record_possible_run(self) -> None:
         self._may_have_run = True
-        self.runs += 1
+        self.possible_runs += 1
 
     # The response
 
     def _begin_response(self, attempt: _Attempt) -> HandlerResult | None:
-        """Return the response for the caller, or None."""
+        """Return the response for the caller, or None if the attempt failed."""
         if attempt.outcome is not None:
             return None
         if self.accepted.route.stream and attempt.response.status == 200:
@@ -353,7 +354,7 @@
         return full_response
 
     def _begin_stream(self, attempt: _Attempt) -> StreamResponse | None:
-        """Wait for the first event; until then another upstream may run it all."""
+        """Wait for the first event; return None if the stream fails before it."""
         chunks = self._stream_events(attempt)
         try:
             first = next(chunks, b"")
@@ -370,7 +371,7 @@
         """Yield complete events as they arrive; always ends the attempt."""
         splitter = EventSplitter()
         previous_s = None
-        count = 0
+        step_count = 0
         try:
             while data := attempt.response.read(self._read_timeout_s()):
                 events = splitter.feed(data)
@@ -386,17 +387,17 @@
                         attempt.ticket, attempt.upstream
                     )
                 previous_s = self._idle_since_s = now_s
-                self.relocation.clear_declined()
-                count += 1
+                self.relocation.clear_excluded()
+                step_count += 1
                 self._record_event_id(events)
                 yield events.body
             if rest := splitter.rest():
                 yield rest
-            self._dispatcher.stream_completed(attempt.ticket, count)
+            self._dispatcher.stream_completed(attempt.ticket, step_count)
             self._end_attempt(attempt, AttemptOutcome.ANSWERED)
         except EventTooLong as error:
             self._end_attempt(attempt, AttemptOutcome.FAILED)
-            raise IncompleteResponse("an event is too long") from error
+            raise IncompleteResponse("an event exceeds the size limit") from error
         except IncompleteResponse as error:
             raise self._end_incomplete(attempt, error) from error
         finally:
@@ -416,7 +417,7 @@
             previous_id is not None and events.first_id <= previous_id
         ):
             raise IncompleteResponse(
-                f"event {events.first_id} came after {previous_id}"
+                f"event ids don't rise: {events.first_id} after {previous_id}"
             )
         self._last_event_id = str(events.event_id)
 
@@ -425,7 +426,7 @@
     ) -> Iterator[bytes]:
         """Yield a stream's events, resuming at another upstream where allowed.
 
-        The connection to the first upstream is closed, which stops its run, before
+        The connection to the previous upstream is closed, which stops its run, before
         the request is sent to the next one.
         """
         yield first
@@ -439,7 +440,7 @@
     def _resume_stream(self, error: IncompleteResponse) -> Iterator[bytes]:
         if self._caller_gone or not self._may_run_again():
             raise error
-        if not self._allow_retry(self._current):
+        if not self._take_retry_if_needed(self._current):
             raise error
         attempt = self._start_attempt()
         if isinstance(attempt, Problem):
@@ -472,22 +473,27 @@
             may_send = not self._may_have_run or self._may_run_again()
         else:
             may_send = self._may_run_again()
-        return may_send and self._allow_retry(attempt)
+        return may_send and self._take_retry_if_needed(attempt)
 
-    def _may_run_again(self, uncounted: int = 0) -> bool:
-        """Return whether one more upstream may run it, besides `uncounted` runs."""
+    def _may_run_again(self, pending_runs: int = 0) -> bool:
+        """Return whether one more upstream may run it.
+
+        `pending_runs` are those of attempts that aren't counted as possible runs yet.
+        """
         route = self.accepted.route
-        return route.retryable and self.runs + uncounted < route.attempts_max
+        return (
+            route.retryable and self.possible_runs + pending_runs < route.attempts_max
+        )
 
-    def _allow_retry(self, attempt: _Attempt) -> bool:
-        """Return whether another attempt is allowed, taking a retry if it needs one.
+    def _take_retry_if_needed(self, attempt: _Attempt) -> bool:
+        """Charge the retry budget if needed; return whether to make another attempt.
 
-        The first attempts after unreachable upstreams need none. Otherwise the crash of
-        a few upstreams would use up the budget, and requests would be refused although
-        others have free slots.
+        The first attempts that follow an unreachable upstream aren't charged. Otherwise
+        the crash of a few upstreams would use up the budget, and requests would be
+        refused although other upstreams have free slots.
         """
         if self.relocation.is_prepared:
-            # The retry was taken from the budget together with the slot.
+            # The budget was charged when the slot was reserved.
             return True
         if attempt.outcome is AttemptOutcome.UNREACHABLE:
             self._unreachable_count += 1
@@ -505,10 +511,12 @@
         remaining_s = max(0.0, self._remaining_s())
         if not self._may_relocate():
             return remaining_s
-        first_byte_s = self._current.ticket.expected_first_byte_s * READ_TIMEOUT_FACTOR
+        first_byte_timeout_s = (
+            self._current.ticket.expected_first_byte_s * READ_TIMEOUT_FACTOR
+        )
         return min(
             remaining_s,
-            max(READ_TIMEOUT_MIN_S, self.accepted.route.target_s, first_byte_s),
+            max(READ_TIMEOUT_MIN_S, self.accepted.route.target_s, first_byte_timeout_s),
         )
 
     def _on_read_timeout(self) -> float:
@@ -516,21 +524,22 @@
         remaining_s = max(0.0, self._remaining_s())
         if self._caller_gone:
             return 0.0
-        if remaining_s < RELOCATION_TIME_MAX_S or not self._may_relocate():
+        if remaining_s < RELOCATION_REMAINING_MIN_S or not self._may_relocate():
             return remaining_s
-        if self.relocation.prepare(self._current.handle):
+        if self.relocation.prepare(self._current.cancel_handle):
             return 0.0
         return min(remaining_s, RELOCATION_INTERVAL_S)
 
     def _may_relocate(self) -> bool:
         """Return whether the request may move to another upstream."""
-        uncounted = 1 if self._current.response is None else 0
-        return self._may_run_again(uncounted) and self.relocation.is_possible()
+        pending_runs = 1 if self._current.response is None else 0
+        return self._may_run_again(pending_runs) and self.relocation.is_possible()
 
     def _remaining_s(self) -> float:
         return self.accepted.deadline_s - self._clock.monotonic_s()
 
     def _final_refusal(self, attempt: _Attempt) -> Problem:
+        """Return the refusal after the last attempt, also if the caller has gone."""
         if (
             attempt.outcome is AttemptOutcome.LEFT
             or self._remaining_s() < ATTEMPT_MIN_S
--- a/lavenderspoke/direct/office.py
+++ b/lavenderspoke/direct/office.py
@@ -1,4 +1,4 @@
-"""The dispatcher of an entry: one lock around all of its decisions.
+"""The dispatcher of an entry; a single lock guards all of its state.
 
 The decisions themselves (scheduler, limits, crashes, peers) are plain classes without
 locks. Each call here is short and none blocks.
@@ -47,19 +47,19 @@
 LIMIT_RETRY_AFTER_MAX_S = 3.0
 # Interval, in seconds, at which all customers' usage is sent to the other entries. In
 # between only changes are sent, which with 16 customers saves a third of the bytes. A
-# peer that missed a message has wrong figures for at most this long.
+# peer that missed a message has outdated usage for at most this long.
 FULL_USAGE_INTERVAL_S = 1.0
 # How long an entry keeps to its own share of customers' limits after its start, in
-# seconds. Requests that waited while all entries started reach all at once, and each
-# entry would grant what the others grant too, before the messages of the first 0.1 s
-# say so. A longer time refuses customers whose callers are unevenly spread.
+# seconds. Until the messages of the first 0.1 s arrive, entries that start together
+# would each grant the same unused share to requests that waited for the start. A longer
+# time refuses customers whose callers are unevenly spread.
 OWN_SHARE_ONLY_S = 0.2
-ATTEMPTS = "direct_attempts"
-RETRIES = "direct_retries"
-RELOCATIONS = "direct_silence_looks"
-FIRST_LATER = "direct_first_event_later_s"
-FIRST_EARLIER = "direct_first_event_earlier_s"
-PEERS_RUNNING = "direct_peers_running"
+ATTEMPTS_METRIC = "direct_attempts"
+RETRIES_METRIC = "direct_retries"
+RELOCATIONS_METRIC = "direct_silence_looks"
+FIRST_EVENT_LATER_METRIC = "direct_first_event_later_s"
+FIRST_EVENT_EARLIER_METRIC = "direct_first_event_earlier_s"
+PEER_REQUESTS_METRIC = "direct_peers_running"
 
 log = logbook.Logger(__name__)
 
@@ -120,7 +120,7 @@
         return self._random.choices(route.traffic_split, weights)[0].service
 
     def admit(self, accepted: AcceptedRequest) -> Result[AcceptedRequest, Problem]:
-        """Check a request for crash quarantine and against its customer's limit."""
+        """Check a request and charge its customer's limit; mark it if resubmitted."""
         with self._lock:
             now_s = self._now_s()
             service, fingerprint = accepted.service, accepted.fingerprint
@@ -134,7 +134,7 @@
                 accepted, now_s, resubmitted=first_arrived_s is not None
             )
             if refusal is not None:
-                # Its caller is told when to retry, which then is a resubmission.
+                # Its caller is told when to retry; that request is a resubmission.
                 self._resubmissions.record_refusal(
                     fingerprint, first_arrived_s or accepted.first_arrived_s
                 )
@@ -152,21 +152,23 @@
         if customer is None:
             return None
         cost = customer.cost(accepted.head.total_tokens)
-        rank = accepted.route.rank
+        route_rank = accepted.route.rank
         if self._quota.spend(
-            customer, cost, rank=rank, now_s=now_s, resubmitted=resubmitted
+            customer, cost, rank=route_rank, now_s=now_s, resubmitted=resubmitted
         ):
             return None
-        wait_s = self._quota.wait_s(customer, cost, rank=rank, now_s=now_s)
-        latest_s = max(0.0, (accepted.deadline_s - now_s) * RETRY_AFTER_MAX_SHARE)
+        wait_s = self._quota.wait_s(customer, cost, rank=route_rank, now_s=now_s)
+        retry_after_max_s = max(
+            0.0, (accepted.deadline_s - now_s) * RETRY_AFTER_MAX_SHARE
+        )
         retry_after_s = min(
-            max(RETRY_AFTER_MIN_S, wait_s), LIMIT_RETRY_AFTER_MAX_S, latest_s
+            max(RETRY_AFTER_MIN_S, wait_s), LIMIT_RETRY_AFTER_MAX_S, retry_after_max_s
         )
-        detail = self._quota.explain(customer, cost, rank=rank, now_s=now_s)
+        detail = self._quota.explain(customer, cost, rank=route_rank, now_s=now_s)
         return not_run(Reason.CUSTOMER_LIMIT, detail, retry_after_s)
 
-    def note_refusal(self, accepted: AcceptedRequest, *, ran: Ran) -> None:
-        """Record a request that got no response from an upstream."""
+    def record_refusal(self, accepted: AcceptedRequest, *, ran: Ran) -> None:
+        """Record a refused request, and refund its cost if it did not run."""
         with self._lock:
             self._resubmissions.record_refusal(
                 accepted.fingerprint, accepted.first_arrived_s
@@ -174,8 +176,8 @@
             customer = accepted.customer
             if ran is Ran.NO and customer is not None:
                 cost = customer.cost(accepted.head.total_tokens)
-                rank, now_s = accepted.route.rank, self._now_s()
-                self._quota.refund(customer, cost, rank=rank, now_s=now_s)
+                route_rank, now_s = accepted.route.rank, self._now_s()
+                self._quota.refund(customer, cost, rank=route_rank, now_s=now_s)
 
     # Dispatcher
 
@@ -193,7 +195,7 @@
             late_s = queue.record_first_event(
                 ticket, upstream.upstream_id, self._now_s()
             )
-        name = FIRST_LATER if late_s > 0.0 else FIRST_EARLIER
+        name = FIRST_EVENT_LATER_METRIC if late_s > 0.0 else FIRST_EVENT_EARLIER_METRIC
         tier = str(ticket.rank[1])
         self._metrics.observe(name, ticket.service, tier, abs(late_s))
 
@@ -204,7 +206,7 @@
         accepted: AcceptedRequest,
         outcome: AttemptOutcome,
     ) -> None:
-        self._metrics.count(ATTEMPTS, outcome.value)
+        self._metrics.count(ATTEMPTS_METRIC, outcome.value)
         with self._lock:
             now_s = self._now_s()
             self._upstream_monitor.record_attempt(upstream, accepted, outcome, now_s)
@@ -232,16 +234,16 @@
     def take_retry(self, service: str) -> bool:
         with self._lock:
             is_taken = self._retry_allowance(service).try_spend(self._now_s())
-        self._metrics.count(RETRIES, "sent" if is_taken else "budget_spent")
+        self._metrics.count(RETRIES_METRIC, "sent" if is_taken else "budget_spent")
         return is_taken
 
     def return_retry(self, service: str) -> None:
         with self._lock:
             self._retry_allowance(service).refund()
-        self._metrics.count(RETRIES, "unused")
+        self._metrics.count(RETRIES_METRIC, "unused")
 
     def relocation_checked(self, result: RelocationResult) -> None:
-        self._metrics.count(RELOCATIONS, result.value)
+        self._metrics.count(RELOCATIONS_METRIC, result.value)
 
     def stream_completed(self, ticket: Ticket, steps: int) -> None:
         with self._lock:
@@ -298,7 +300,7 @@
             self._update_retry_budgets()
 
     def has_upstreams(self) -> bool:
-        """Return whether a route's service has an upstream that takes new requests."""
+        """Return whether any service in use has an upstream that takes requests."""
         with self._lock:
             queues = self._scheduler.queues()
             return any(
@@ -314,7 +316,7 @@
             self._scheduler.rollouts_changed()
 
     def order_withdrawn(self, service: str, number: int) -> None:
-        """Stop the roll-out that was ordered before record `number`."""
+        """Stop a roll-out ordered before its withdrawal, which is record `number`."""
         with self._lock:
             self._rollouts.withdraw_order(service, number, self._now_s())
             self._scheduler.rollouts_changed()
@@ -383,7 +385,7 @@
             self._advance_rollouts(now_s)
             queues = self._scheduler.queues().values()
             running = sum(queue.pool.peer_requests() for queue in queues)
-        self._metrics.set_gauge(PEERS_RUNNING, running)
+        self._metrics.set_gauge(PEER_REQUESTS_METRIC, running)
 
     def known_peers(self) -> dict[str, EntryLocation]:
         """Return the other entries that may be alive, by name."""
@@ -396,7 +398,7 @@
             return self._peers.live_names(self._now_s())
 
     def direct_peer_names(self) -> list[str]:
-        """Return the names of those that recently sent to this entry directly."""
+        """Return the names of the entries that recently sent a state themselves."""
         with self._lock:
             return self._peers.directly_heard_names(self._now_s())
 
@@ -450,7 +452,6 @@
         return True
 
     def _advance_rollouts(self, now_s: float) -> None:
-        """Advance the roll-outs that are due."""
         if not self._rollouts.is_any_running:
             return
         loads = {
@@ -480,7 +481,7 @@
             self._update_retry_budgets()
 
     def _usage_to_send(self) -> dict[str, UsageRows]:
-        """Return customers' total usage: at intervals of all, else of those changed."""
+        """Return customers' usage: all at each full interval, else what changed."""
         now_s, sent = self._now_s(), self._sent_usage
         spent = self._sent_usage = self._quota.spent()
         if now_s >= self._full_usage_sent_s + FULL_USAGE_INTERVAL_S:
@@ -498,8 +499,8 @@
     def _update_retry_budgets(self) -> None:
         """Give each service's allowance this entry's current share of the budget.
 
-        An entry that has just started knows no others; if it kept that share, it would
-        have all of the slack.
+        An entry that has just started counts only itself, so its first share includes
+        all of the retry slack; each newly known entry reduces it.
         """
         budget = self._retry_budget()
         for allowance in self._retry_allowances.values():
--- a/lavenderspoke/direct/readiness.py
+++ b/lavenderspoke/direct/readiness.py
@@ -13,9 +13,9 @@
 
 
 class ReadinessServer(SupervisedServer):
-    """Responds 200 while callers may be sent here and 503 otherwise, on any path.
+    """Responds 200 while callers may be sent here and 503 otherwise.
 
-    `/metrics` on the same address shows counters and latencies as text.
+    It does so on any path but `/metrics`, which shows counters and latencies as text.
     """
 
     name = "readiness"
--- a/lavenderspoke/direct/refusals.py
+++ b/lavenderspoke/direct/refusals.py
@@ -1,7 +1,7 @@
 """Refusals for requests that get no response from an upstream.
 
-A refusal says "not run" only if that is certain, since callers may then repeat a
-payment.
+A refusal says "not run" only if that is certain, since callers then repeat the request,
+which may be a payment.
 """
 
 from lavenderspoke.direct.tickets import Refusal, Refuse
@@ -28,19 +28,20 @@
 
 
 def no_slot_available(decision: Refuse | None, *, may_have_run: bool) -> Problem:
-    """Return a refusal for a request without a slot; no decision means too late."""
+    """Return a refusal for a request without a slot.
+
+    There is no decision if the deadline expired or the caller has gone.
+    """
     if decision is None:
-        return deadline_exceeded(
-            "deadline expired in the queue", may_have_run=may_have_run
-        )
+        return deadline_exceeded("no slot in time", may_have_run=may_have_run)
     reason = REASONS[decision.reason]
     if may_have_run:
-        return _outcome_unknown(Reason.ANSWER_INCOMPLETE, "try again later")
+        return _outcome_unknown(Reason.ANSWER_INCOMPLETE, "no slot for another attempt")
     return not_run(reason, "try again later", decision.retry_after_s)
 
 
 def deadline_exceeded(detail: str, *, may_have_run: bool) -> Problem:
-    """Return a refusal for a request whose deadline has expired."""
+    """Return a refusal for a request whose deadline has expired or can't be met."""
     if may_have_run:
         return _outcome_unknown(Reason.DEADLINE_EXPIRED, detail)
     return not_run(Reason.DEADLINE_UNREACHABLE, detail, RETRY_AFTER_S)
--- a/lavenderspoke/direct/relocation.py
+++ b/lavenderspoke/direct/relocation.py
@@ -19,7 +19,7 @@
     Dispatcher,
     RelocationResult,
 )
-from lavenderspoke.direct.exchange import RequestHandle
+from lavenderspoke.direct.exchange import CancelHandle
 from lavenderspoke.direct.instances import Upstream
 from lavenderspoke.direct.reserving import reserve_slot
 from lavenderspoke.direct.tickets import Ticket
@@ -34,14 +34,14 @@
 
     upstream: Upstream
     ticket: Ticket
-    reservation: str | None = None
+    reservation_id: str | None = None
 
 
 class Relocation:
     """Prepares one request's move from a silent upstream; used by one thread.
 
     `find_free_slot` returns a slot that is free as far as the entry knows, without
-    waiting for one. `declined` holds the ids of upstreams that reserved no slot;
+    waiting for one. `excluded` holds the ids of upstreams that reserved no slot;
     `results` counts the values of `RelocationResult`.
     """
 
@@ -55,7 +55,7 @@
         find_free_slot: Callable[[], HeldSlot | None],
     ):
         self.results: Counter[str] = Counter()
-        self.declined: set[str] = set()
+        self.excluded: set[str] = set()
         self._accepted = accepted
         self._dispatcher = dispatcher
         self._dialect = dialect
@@ -72,10 +72,10 @@
         """Return whether upstreams reserve slots for such a request."""
         return self._dialect.supports_reservation(self._accepted.head)
 
-    def prepare(self, current: RequestHandle) -> bool:
+    def prepare(self, current: CancelHandle) -> bool:
         """Acquire a retry and a slot elsewhere, unless data arrives meanwhile."""
         result = self._find_and_reserve()
-        if result is RelocationResult.FOUND and current.has_unread_data():
+        if result is RelocationResult.FOUND and current.is_readable():
             self.release()
             result = RelocationResult.SPOKE
         self.results[result.value] += 1
@@ -83,7 +83,7 @@
         return result is RelocationResult.FOUND
 
     def take_slot(self) -> HeldSlot | None:
-        """Return the held slot, which the calling code has to release."""
+        """Hand over the held slot, if any; its taker releases it from then on."""
         slot, self._slot = self._slot, None
         return slot
 
@@ -94,9 +94,9 @@
             self._dispatcher.release_slot(slot.ticket, slot.upstream)
             self._dispatcher.return_retry(self._accepted.service)
 
-    def clear_declined(self) -> None:
-        """Clear `declined`, since the upstream is no longer silent."""
-        self.declined.clear()
+    def clear_excluded(self) -> None:
+        """Allow all upstreams again, since the current one is no longer silent."""
+        self.excluded.clear()
 
     def _find_and_reserve(self) -> RelocationResult:
         service = self._accepted.service
@@ -123,9 +123,10 @@
             clock=self._clock,
         )
         if isinstance(reserved, Ok):
-            return attrs.evolve(slot, reservation=reserved.ok_value)
-        self.declined.add(upstream.upstream_id)
+            return attrs.evolve(slot, reservation_id=reserved.ok_value)
+        self.excluded.add(upstream.upstream_id)
         outcome = reserved.err_value.outcome
+        # An outcome other than this one proves something about the upstream.
         if outcome is AttemptOutcome.NOT_RUN:
             self._dispatcher.release_slot(ticket, upstream)
         else:
--- a/lavenderspoke/direct/reserving.py
+++ b/lavenderspoke/direct/reserving.py
@@ -13,14 +13,14 @@
 from lavenderspoke.direct.dialect import ControlRequest, Dialect
 from lavenderspoke.direct.dispatcher import AttemptOutcome
 from lavenderspoke.direct.exchange import (
+    CancelHandle,
     ConnectionPool,
     IncompleteResponse,
     NotSent,
-    RequestHandle,
 )
 
-# Timeout for the upstream's response, in seconds. Meanwhile the caller waits for a
-# stream that is already late.
+# Timeout for the head of the upstream's response, and again for its body, in seconds.
+# Meanwhile the caller waits for a stream that is already late.
 RESERVE_TIMEOUT_S = 0.2
 
 log = logbook.Logger(__name__)
@@ -43,7 +43,7 @@
 ) -> Result[str, NotReserved]:
     """Reserve a slot at an upstream; return its id there."""
     sent = connection_pool.send(
-        handle=RequestHandle(),
+        cancel_handle=CancelHandle(),
         method=request.method,
         target=request.target,
         headers=request.headers,
--- a/lavenderspoke/direct/server.py
+++ b/lavenderspoke/direct/server.py
@@ -8,11 +8,10 @@
 from lavenderspoke.direct.settings import DirectSettings
 from lavenderspoke.http.server import HttpServer
 
-# Connections may idle this much longer, in seconds, than stated to callers, since a
-# request that crosses a close is lost.
-IDLE_MARGIN_S = 2.0
-# Time in which a request must arrive, as a multiple of that for its headers, which a
-# body follows.
+# Connections may idle this much longer, in seconds, than the configured idle timeout,
+# since a request that is on its way when the server closes is lost.
+CLOSE_DELAY_S = 2.0
+# A request with its body may take this many times as long to arrive as its headers.
 REQUEST_READ_FACTOR = 3.0
 # Timeout for joining the threads of a stopped server, in seconds.
 SHUTDOWN_TIMEOUT_S = 0.3
@@ -89,13 +88,13 @@
         return self.server.in_flight() if self.server is not None else 0
 
     def set_limits(self, limits: Limits) -> None:
-        """Apply new limits to later requests and connections."""
+        """Apply new limits to later requests and connections, but for body sizes."""
         self._limits = limits
         if self.server is not None:
             _apply_limits(self.server, limits)
 
 
 def _apply_limits(server: HttpServer, limits: Limits) -> None:
-    server.timeout = limits.idle_timeout_s + IDLE_MARGIN_S
+    server.timeout = limits.idle_timeout_s + CLOSE_DELAY_S
     server.request_read_s = limits.read_timeout_s * REQUEST_READ_FACTOR
     server.max_request_header_size = limits.header_bytes_max
