--- a/features/explain.feature
+++ b/features/explain.feature
@@ -6,7 +6,7 @@
     gives the reason, the upstreams that were tried, and that nothing ran.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every desk upstream answers "full"
-    When a plain answer is asked for through the entry
+    When a plain response is requested through the entry
     And its id is explained from the entry's log
     Then the explanation contains "No upstream had a free slot in time; it has not run."
     And the explanation contains "desk-1:not_run"
@@ -15,7 +15,7 @@
   Scenario: A stream breaks off midway
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every model upstream cuts its first stream after 3 events
-    When a stream that may run once is asked for through the entry
+    When a stream that must run at most once is requested through the entry
     And its id is explained from the entry's log
     Then the explanation contains "The answer broke off after it had begun"
     And the explanation contains ":broken"
--- a/features/platform_entry.feature
+++ b/features/platform_entry.feature
@@ -1,50 +1,49 @@
 Feature: An entry on the users' platform
   Real processes: a store, upstreams and entries that send to them directly.
 
-  Scenario: Streams and plain answers come whole, with the platform's headers kept
+  Scenario: Streams and plain responses are complete, with the platform's headers
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When a stream is asked for through the entry
-    Then it comes whole, in order, and ran once
-    When a plain answer is asked for through the entry
-    Then it comes whole with the upstream's signature
-    And upstreams saw the customer's name, their own id and no key
+    When a stream is requested through the entry
+    Then it is complete, in order, and ran once
+    When a plain response is requested through the entry
+    Then it is complete with the upstream's signature
+    And upstreams received the customer's name, their own name and no key
 
-  Scenario: What only the system may say is not passed on from callers
-    A caller that names itself another customer, or asks for pinned memory, would
-    otherwise get what it has no right to.
+  Scenario: Headers that only the system may set are stripped from requests
+    Otherwise a caller could pose as another customer or have memory pinned.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When a caller sends headers that are the system's to set
-    Then no upstream saw the caller's values
+    When a caller sends headers that only the system may set
+    Then no upstream received the caller's values
 
-  Scenario: An upstream breaks in the middle of an event
-    The first upstream cuts its stream inside an event. What was whole has been
-    passed on; the rest comes from the other one, after the event the caller has.
+  Scenario: An upstream breaks off within an event
+    The first upstream ends its stream within an event. Complete events have been
+    relayed; the other upstream resumes after the last event that the caller has.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every model upstream cuts its first stream after 3 events
-    When a stream is asked for through the entry
-    Then it comes whole and in order, from two upstreams
+    When a stream is requested through the entry
+    Then it is complete and in order, from two upstreams
 
-  Scenario: An upstream falls silent while it runs a stream
-    Guards against a stream that is left at a silent upstream, or cut for an unsure place.
+  Scenario: An upstream stops responding while it runs a stream
+    Guards against a stream that stays at a silent upstream, or moves without a reserved slot.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And model upstreams that send an event every 100 ms
-    When a stream is asked for, and its upstream falls silent for good
-    Then it comes whole from the other upstream, which had reserved a place
+    When a stream is requested, and its upstream stops responding
+    Then it is completed by the other upstream, with a reservation
 
-  Scenario: A stream that may not be resumed breaks visibly
+  Scenario: A stream that must not be resumed is visibly truncated
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every model upstream cuts its first stream after 3 events
-    When a stream that may run once is asked for through the entry
-    Then it is broken visibly and ran once
+    When a stream that must run at most once is requested through the entry
+    Then it is visibly truncated and ran once
 
-  Scenario Outline: A faulty answer is never passed on as a good one
-    The upstream runs the request and answers it badly. What may be repeated is
-    asked of the other upstream; what may not ends in an honest failure.
+  Scenario Outline: A faulty response is never relayed as a valid one
+    The upstream runs the request and sends a faulty response. Idempotent requests are
+    retried at the other upstream; others fail, without a claim that they did not run.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And one desk upstream answers "<fault>"
-    When 8 repeatable and 8 single requests are sent through the entry
-    Then the repeatable ones come whole, and none ran more often than it may
-    And each single one came whole or as a failure that promises nothing
+    When 8 idempotent and 8 at-most-once requests are sent through the entry
+    Then the idempotent ones succeed, and none runs more often than allowed
+    And each at-most-once one succeeds or fails without saying that it did not run
 
     Examples:
       | fault    |
@@ -53,101 +52,100 @@
       | unsigned |
 
   Scenario: An upstream says that it is full
-    The upstream's refusal proves that nothing ran, so another one is asked, and
-    a caller whose request no one took is told so, with when to come back.
+    The rejection proves that nothing ran, so another upstream is tried. If none accepts
+    the request, the caller gets a 503 response with Retry-After.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every desk upstream answers "full"
-    When a plain answer is asked for through the entry
-    Then it is refused as not run, with when to come back, and nothing ran
+    When a plain response is requested through the entry
+    Then it is rejected as not run, with Retry-After, and nothing ran
 
-  Scenario: The caller leaves while its stream runs
+  Scenario: The caller disconnects while its stream runs
     The caller closes its connection before the stream's end. The upstream's work
-    is for nobody from then on; it must stop within half a second.
+    is then useless and must stop within half a second.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And model upstreams that send an event every 200 ms
-    When a caller leaves in the middle of a stream
+    When a caller disconnects during a stream
     Then its upstream stops within 500 ms
 
-  Scenario: A key is taken away while the store turns the entry away
-    The entry can't learn that the key is gone. It stops honouring any key once
-    its last read is too old, says so as not run, and goes on when the store is
-    back, where the key is unknown.
-    Given a platform with an entry whose keys last 2000 ms without a read
-    When the store answers nothing and the key is taken away
-    Then within 2000 ms requests with the key are refused as not run
-    When the store answers again
-    Then requests with the key are told that it is unknown
-
-  Scenario: The store turns one of two entries away
-    The entry can't read the store, but the other one can, and tells it what the
-    store says and how old that is. Callers with a key are served by both for longer
-    than a key lasts without a read, and a key that is taken away stops at both.
-    Given a platform with two entries, one of them reaching the store by a proxy
-    When the store turns that entry away
-    Then for 6 s both serve requests with a key
-    When the key is taken away
-    Then within 5 s both say that it is unknown
-
-  Scenario: A new version moves a route, and no older one comes back
-    Given a platform with an entry, two model upstreams and two desk upstreams
-    When version 2 drops a route, and version 1 is written again
-    Then the dropped route is unknown within 2 s and stays so
+  Scenario: A key is revoked while the store doesn't respond
+    The entry can't learn of the revocation. It accepts no key once its last read is too
+    old, and rejects requests as not run. It resumes when the store recovers, and the
+    key is unknown there.
+    Given a platform with an entry that accepts keys for 2000 ms after a read
+    When the store stops responding and the key is revoked
+    Then within 2000 ms requests with the key are rejected as not run
+    When the store responds again
+    Then requests with the key are rejected as unauthorized
+
+  Scenario: The store rejects one of two entries
+    The entry can't read the store, but the other one relays the records with their age.
+    Both serve callers with a key for longer than keys are accepted without a read, and
+    both reject a revoked key.
+    Given a platform with two entries, one of them connected to the store by a proxy
+    When the store rejects that entry
+    Then for 6 s both entries serve requests with a key
+    When the key is revoked
+    Then within 5 s both entries reject it as unauthorized
+
+  Scenario: A new version removes a route, and an older one has no effect
+    Given a platform with an entry, two model upstreams and two desk upstreams
+    When version 2 removes a route, and version 1 is written again
+    Then the removed route is unknown within 2 s and stays so
 
   Scenario: An upstream leaves
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When one desk upstream says that it leaves
-    Then within 2 s it gets nothing new
+    When one desk upstream registers as draining
+    Then within 2 s it receives no new requests
 
-  Scenario: The store forgets its records
+  Scenario: The store expires its records
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the store forgets all records, and a new version adds a route
+    When the store expires all records, and a new version adds a route
     Then the new route is served within 2 s
 
   Scenario: SIGTERM comes while streams run
-    Callers hold streams when the entry is told to stop. It says at once that it
-    is not ready, finishes them, takes what still comes for two seconds, and
-    ends by itself before it would be killed.
+    The entry reports at once that it is not ready, finishes its streams, accepts
+    requests for two more seconds, and exits before it would be killed.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And model upstreams that send an event every 200 ms
     When the entry gets SIGTERM while 4 streams run
-    Then it is not ready, and still serves a request that comes a second later
-    And all streams come whole and it ends by itself within 8 s
-    And its log names no part that died
+    Then it is not ready, and still serves a request a second later
+    And all streams are complete and it exits within 8 s
+    And its log reports no part that died
 
   Scenario: Settings files are checked before a start
-    When a settings file without an address, and with a word for a time, is checked
-    Then both mistakes are named, and the status says that there are some
+    When a settings file with a missing address and a malformed time is checked
+    Then both errors are reported, and the exit status is 1
     When the settings file of a running entry is checked
-    Then it is in order
+    Then the settings file is valid
 
-  Scenario: SIGHUP puts other bounds in force
+  Scenario: SIGHUP applies changed bounds
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When its settings change to keys of 1500 ms and it gets SIGHUP
-    Then it lives, and honours keys for no longer than that
+    When its settings change to accept keys for 1500 ms and it gets SIGHUP
+    Then it stays alive, and accepts keys for no longer than that
 
-  Scenario: SIGHUP comes while the process still starts
-    The platform sends it to all processes, also to one that has just been started
-    again. Before a handler is set the signal ends a process, and imports take a
-    while: callers find nobody there until the next start.
+  Scenario: SIGHUP arrives while the process starts
+    The platform sends it to all processes, including one that has just been restarted.
+    Without a handler the signal ends the process, and imports take a while: the entry
+    would be unavailable until the next start.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is started again, and gets SIGHUP during its imports
+    When the entry is restarted, and gets SIGHUP during its imports
     Then it is alive, ready and serving
 
-  Scenario: An entry is stopped while it still starts
-    Its port takes connections before the rest is loaded. The signal would end the
-    process at once, and a caller that waits there would find its connection reset.
+  Scenario: An entry is stopped while it starts
+    Its port accepts connections before the rest is loaded. The signal would end the
+    process at once and reset the connections of waiting callers.
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is started again, and a caller's request waits when SIGTERM comes
-    Then the caller gets its answer, and the entry ends by itself with status 0
+    When the entry is restarted, and gets SIGTERM while a request is queued
+    Then the caller gets its response, and the entry exits with status 0
 
-  Scenario: An entry is killed and comes back
+  Scenario: An entry is killed and restarted
     Given a platform with an entry, two model upstreams and two desk upstreams
-    When the entry is killed and started again
+    When the entry is killed and restarted
     Then it is ready and serves
 
-  Scenario: Entries share what runs
-    Two entries before one upstream with four places. Each knows what the other
-    has running there, so that together they don't overfill it for long.
+  Scenario: Entries share their running requests
+    Two entries send to one upstream with four slots. Each knows what the other has
+    running there, so that together they don't overload it for long.
     Given a platform with two entries and one model upstream
-    When 3 slow streams run through one entry, and 3 come to the other
-    Then the upstream never works on more than it has places, and all come whole
+    When 3 slow streams run through one entry, and 3 arrive at the other
+    Then the upstream never exceeds its slots, and all streams are complete
--- a/features/platformstage.py
+++ b/features/platformstage.py
@@ -1,4 +1,4 @@
-"""What the steps about entries on the users' platform share."""
+"""Helpers shared by the steps about entries on the users' platform."""
 
 from features.helper import stage_of
 from standins.platformdeployment import PlatformDeployment, configuration
@@ -29,5 +29,5 @@
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(events))
 
 
-def look(context, entry: str) -> int:
+def look_status(context, entry: str) -> int:
     return context.platform.send(entry, "/look/1", method="GET").status
--- a/features/refused_resources.feature
+++ b/features/refused_resources.feature
@@ -48,7 +48,7 @@
     And model upstreams that send an event every 200 ms
     And the entry was restarted, and gets no more threads from now on
     When the entry gets SIGTERM while 4 streams run
-    Then all streams come whole and it ends by itself within 8 s
+    Then all streams are complete and it exits within 8 s
 
   Scenario Outline: The system refuses a thread of the link to the other entries
     Guards against sockets left open, so that the next start finds the address in use.
--- a/features/steps/platform_entry_steps.py
+++ b/features/steps/platform_entry_steps.py
@@ -19,7 +19,7 @@
     platform.entry("entry-1")
 
 
-@given("a platform with an entry whose keys last {ms:d} ms without a read")
+@given("a platform with an entry that accepts keys for {ms:d} ms after a read")
 def step_platform_keys(context, ms):
     platform = deploy(context)
     start_upstreams(platform)
@@ -54,16 +54,16 @@
     set_all(context, "model", event_s=ms / 1000, events=10)
 
 
-@when("a stream is asked for through the entry")
+@when("a stream is requested through the entry")
 def step_stream(context):
     context.answer = context.platform.send("entry-1", "/stream/1", body=b"prompt")
 
 
-@when("a stream is asked for, and its upstream falls silent for good")
+@when("a stream is requested, and its upstream stops responding")
 def step_stream_silent(context):
     platform = context.platform
     with ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(
+        submitted = pool.submit(
             platform.send,
             "entry-1",
             "/stream/1",
@@ -73,10 +73,10 @@
         wait_until(platform.runs, WAIT_S, "the stream runs")
         (silent,) = (name for name in platform.upstreams if platform.runs(name))
         platform.upstreams[silent].set_faults(silent=True)
-        context.answer = asked.result()
+        context.answer = submitted.result()
 
 
-@then("it comes whole from the other upstream, which had reserved a place")
+@then("it is completed by the other upstream, with a reservation")
 def step_moved(context):
     assert context.answer.whole, context.answer
     assert context.answer.body == expected_stream(10), context.answer
@@ -86,31 +86,31 @@
     assert moved["headers"]["x-kv-retention"] == "r1", moved
 
 
-@when("a stream that may run once is asked for through the entry")
+@when("a stream that must run at most once is requested through the entry")
 def step_stream_once(context):
     context.answer = context.platform.send("entry-1", "/stream-once/1", body=b"prompt")
 
 
-@when("a plain answer is asked for through the entry")
+@when("a plain response is requested through the entry")
 def step_plain(context):
     context.answer = context.platform.send("entry-1", "/look/1?q=%2F", method="GET")
 
 
-@then("it comes whole, in order, and ran once")
+@then("it is complete, in order, and ran once")
 def step_whole_once(context):
     assert context.answer.status == 200 and context.answer.whole, context.answer
     assert context.answer.body == expected_stream(), context.answer
     assert len(context.platform.runs()) == 1
 
 
-@then("it comes whole with the upstream's signature")
+@then("it is complete with the upstream's signature")
 def step_whole_signed(context):
     assert context.answer.status == 200 and context.answer.whole, context.answer
     assert context.answer.headers["x-response-signature"].startswith("signed.")
     assert context.answer.body.startswith(b"answer to attempt-")
 
 
-@then("upstreams saw the customer's name, their own id and no key")
+@then("upstreams received the customer's name, their own name and no key")
 def step_saw(context):
     targets = set()
     for name in context.platform.upstreams:
@@ -124,7 +124,7 @@
     assert "/look/1?q=%2F" in targets, targets
 
 
-@when("a caller sends headers that are the system's to set")
+@when("a caller sends headers that only the system may set")
 def step_forged(context):
     forged = {
         "X-Tenant": "forged",
@@ -139,14 +139,14 @@
     assert answer.status == 200, answer
 
 
-@then("no upstream saw the caller's values")
+@then("no upstream received the caller's values")
 def step_not_forged(context):
     (run,) = context.platform.runs()
     assert "forged" not in str(run["headers"]), run
     assert "777" not in run["headers"].values(), run
 
 
-@then("it comes whole and in order, from two upstreams")
+@then("it is complete and in order, from two upstreams")
 def step_resumed(context):
     assert context.answer.whole, context.answer
     assert context.answer.body == expected_stream(), context.answer
@@ -157,16 +157,19 @@
     assert resumed["headers"]["last-event-id"] == "2", resumed
 
 
-@then("it is broken visibly and ran once")
+@then("it is visibly truncated and ran once")
 def step_broken(context):
     assert not context.answer.whole, context.answer
     assert context.answer.body == expected_stream(3), context.answer
     assert len(context.platform.runs()) == 1
 
 
-@when("{count:d} repeatable and {single:d} single requests are sent through the entry")
+@when(
+    "{count:d} idempotent and {single:d} at-most-once requests are sent through the "
+    "entry"
+)
 def step_many(context, count, single):
-    # All at once, so that no upstream can carry them alone.
+    # Sent concurrently, so that no upstream can serve all of them alone.
     set_all(context, "desk", work_s=0.1)
     send = context.platform.send
     with ThreadPoolExecutor(count + single) as pool:
@@ -181,7 +184,7 @@
     context.single = [each.result() for each in singles]
 
 
-@then("the repeatable ones come whole, and none ran more often than it may")
+@then("the idempotent ones succeed, and none runs more often than allowed")
 def step_repeatable(context):
     for answer in context.repeatable:
         assert answer.status == 200 and answer.whole, answer
@@ -195,21 +198,21 @@
     assert max(counts.values()) <= 2, counts
 
 
-@then("each single one came whole or as a failure that promises nothing")
+@then("each at-most-once one succeeds or fails without saying that it did not run")
 def step_single(context):
     statuses = [answer.status for answer in context.single]
     assert set(statuses) <= {200, 502}, statuses
-    assert 502 in statuses, "the faulty upstream was never met"
+    assert 502 in statuses, "the faulty upstream got no at-most-once request"
 
 
-@then("it is refused as not run, with when to come back, and nothing ran")
+@then("it is rejected as not run, with Retry-After, and nothing ran")
 def step_refused(context):
     assert context.answer.status == 503, context.answer
     assert float(context.answer.headers["retry-after"]) > 0
     assert context.platform.runs() == []
 
 
-@when("a caller leaves in the middle of a stream")
+@when("a caller disconnects during a stream")
 def step_leaves(context):
     port = context.platform.entries["entry-1"].callers
     request = (
@@ -234,7 +237,7 @@
     assert time.monotonic() - context.left_s < ms / 1000
 
 
-@when("{count:d} slow streams run through one entry, and {more:d} come to the other")
+@when("{count:d} slow streams run through one entry, and {more:d} arrive at the other")
 def step_both(context, count, more):
     set_all(context, "model", event_s=0.1, events=10)
     platform = context.platform
@@ -246,14 +249,18 @@
 
         context.streams = [send("entry-1", number) for number in range(count)]
         wait_until(lambda: len(platform.runs()) == count, WAIT_S, "streams run")
-        wait_until(lambda: hears(platform, "entry-2", count), WAIT_S, "entries hear")
+        wait_until(
+            lambda: knows_running_count(platform, "entry-2", count),
+            WAIT_S,
+            "entries hear",
+        )
         context.streams += [send("entry-2", count + number) for number in range(more)]
         while not all(each.done() for each in context.streams):
             runs = [r for r in platform.runs() if r["end"] == "broken"]
             context.most = max(context.most, len(runs))
 
 
-@then("the upstream never works on more than it has places, and all come whole")
+@then("the upstream never exceeds its slots, and all streams are complete")
 def step_places(context):
     for each in context.streams:
         answer = each.result(WAIT_S)
@@ -261,8 +268,8 @@
     assert context.most == 4, context.most
 
 
-def hears(platform: PlatformDeployment, name: str, count: int) -> bool:
-    """Return whether an entry knows that so many streams run at the other."""
+def knows_running_count(platform: PlatformDeployment, name: str, count: int) -> bool:
+    """Return whether an entry knows that `count` streams run at the other."""
     url = f"http://{HOST}:{platform.entries[name].readiness}/metrics"
     page = urllib3.request("GET", url).data.decode()
     return f"lavenderspoke_direct_peers_running {count}\n" in page
--- a/features/steps/platform_rollouts_steps.py
+++ b/features/steps/platform_rollouts_steps.py
@@ -25,25 +25,28 @@
     context.answers = []
 
 
-@when("an upstream of another version is registered, which fails")
+@when("a failing upstream of another version is registered")
 def step_failing(context):
     context.platform.start_upstream(NEW, "--slots", "64").set_faults(cut_after_events=2)
     context.platform.register(NEW, SERVICE, version="v2")
 
 
-@when("an upstream of another version is registered, which is sound")
+@when("a healthy upstream of another version is registered")
 def step_sound(context):
     context.platform.upstream(NEW, SERVICE, "--slots", "64", version="v2")
 
 
-@then("for {seconds:g} s it runs nothing of what callers send")
+@then("for {seconds:g} s it runs none of the callers' requests")
 def step_runs_nothing(context, seconds):
     send_until(context, time.monotonic() + seconds)
     assert context.platform.runs(OLD)
     assert not context.platform.runs(NEW), len(context.platform.runs(NEW))
 
 
-@when("it is ordered to take over within {seconds:d} s, and callers send until its end")
+@when(
+    "it is ordered to take over within {seconds:d} s, and callers send until the "
+    "roll-out ends"
+)
 def step_order_send(context, seconds):
     order(context.platform, seconds)
     send_until_ended(context, seconds)
@@ -74,7 +77,7 @@
     context.platform.store.set_faults(mode="up")
 
 
-@when("callers send until its end")
+@when("callers send until the roll-out ends")
 def step_send(context):
     send_until_ended(context, context.duration_s)
 
@@ -85,7 +88,7 @@
 
 
 def send_until_ended(context, seconds: float) -> None:
-    """Send until operators read an end, or for longer than that may take."""
+    """Send until the roll-out has ended, or 2 s beyond its duration."""
     ended = threading.Event()
     until_s = time.monotonic() + seconds + 2.0
 
@@ -104,7 +107,7 @@
 
 
 def send_until(context, until_s: float, ended: threading.Event | None = None) -> None:
-    """Have several callers send one stream after the other."""
+    """Let several callers send streams, each one after another."""
     platform = context.platform
 
     def call(number: int) -> None:
@@ -113,7 +116,7 @@
             try:
                 answer = platform.send(entry, "/stream/1", body=b"prompt")
             except urllib3.exceptions.HTTPError:
-                # The entry is being killed; callers go on.
+                # The entry has been killed; callers continue.
                 time.sleep(0.05)
                 continue
             context.answers.append(answer)
@@ -131,21 +134,21 @@
     )
 
 
-@then("it ran at most {part:d} in 100 of the requests and {more:d} more")
+@then("it ran at most {part:d} in 100 of the requests, plus {more:d}")
 def step_share(context, part, more):
     new, old = (len(context.platform.runs(name)) for name in (NEW, OLD))
     assert new <= part * (new + old) / 100 + more, (new, old)
     assert old > more, (new, old)
 
 
-@then("every caller was answered whole")
+@then("every caller got a complete response")
 def step_whole(context):
     assert context.answers
     broken = [a for a in context.answers if a.status != 200 or not a.whole]
     assert not broken, (len(broken), broken[0])
 
 
-@then("the upstream of the old version gets nothing more")
+@then("the upstream of the old version receives no more requests")
 def step_old_nothing(context):
     before = len(context.platform.runs(OLD))
     send_until(context, time.monotonic() + 0.5)
--- a/features/steps/platform_stop_steps.py
+++ b/features/steps/platform_stop_steps.py
@@ -29,7 +29,7 @@
     context.stopped_s = time.monotonic()
 
 
-@then("it is not ready, and still serves a request that comes a second later")
+@then("it is not ready, and still serves a request a second later")
 def step_draining(context):
     entry = context.platform.entries["entry-1"]
     wait_until(lambda: not entry.ready(), 1.0, "not ready")
@@ -39,7 +39,7 @@
     assert answer.headers["connection"] == "close", answer
 
 
-@then("all streams come whole and it ends by itself within {seconds:d} s")
+@then("all streams are complete and it exits within {seconds:d} s")
 def step_all_whole(context, seconds):
     for each in context.streams:
         answer = each.result(WAIT_S)
@@ -49,26 +49,26 @@
     assert time.monotonic() - context.stopped_s < seconds
 
 
-@then("its log names no part that died")
+@then("its log reports no part that died")
 def step_no_part_died(context):
     output = context.platform.entries["entry-1"].process.output()
     assert "stopping" in output and "part died" not in output, output
 
 
-def signal_state(pid: int, field: str) -> bool:
+def is_sighup_in_mask(pid: int, field: str) -> bool:
     """Return whether SIGHUP is in one of the masks of a process's status."""
     with open(f"/proc/{pid}/status") as status:
         masks = dict(line.split(":", 1) for line in status)
     return bool(int(masks[field], 16) >> (signal.SIGHUP - 1) & 1)
 
 
-@when("the entry is started again, and gets SIGHUP during its imports")
+@when("the entry is restarted, and gets SIGHUP during its imports")
 def step_early_sighup(context):
     platform = context.platform
     platform.entries["entry-1"].process.kill()
     process = platform.start_again("entry-1").process
-    # The imports have not ended as long as the daemon's handler isn't set.
-    wait_until(lambda: signal_state(process.pid, "SigIgn"), WAIT_S, "ignored")
+    # SIGHUP is ignored until the daemon sets its handler, after the imports.
+    wait_until(lambda: is_sighup_in_mask(process.pid, "SigIgn"), WAIT_S, "ignored")
     os.kill(process.pid, signal.SIGHUP)
 
 
@@ -90,14 +90,14 @@
     )
 
 
-@when("a settings file without an address, and with a word for a time, is checked")
+@when("a settings file with a missing address and a malformed time is checked")
 def step_check_mistakes(context):
     path = stage_of(context).directory / "node.conf"
     path.write_text("node-name=entry-1\nzone=here\nbounds.grace-s=soon\n")
     check_settings(context, path)
 
 
-@then("both mistakes are named, and the status says that there are some")
+@then("both errors are reported, and the exit status is 1")
 def step_mistakes_named(context):
     assert context.done.returncode == 1, context.done
     for mistake in ("listen.frontend: found ''", "bounds.grace-s: found 'soon'"):
@@ -111,30 +111,30 @@
     check_settings(context, platform.entry("entry-1").settings_path)
 
 
-@then("it is in order")
+@then("the settings file is valid")
 def step_in_order(context):
     assert context.done.returncode == 0, context.done
     assert "in order" in context.done.stdout, context.done
 
 
-@when("the entry is started again, and a caller's request waits when SIGTERM comes")
+@when("the entry is restarted, and gets SIGTERM while a request is queued")
 def step_early_stop(context):
     platform = context.platform
     platform.entries["entry-1"].process.terminate()
     platform.entries["entry-1"].process.wait()
     entry = platform.start_again("entry-1")
-    wait_until(lambda: connects(entry.callers), WAIT_S, "the port is open")
+    wait_until(lambda: accepts_connections(entry.callers), WAIT_S, "the port is open")
     with ThreadPoolExecutor(1) as pool:
         waiting = pool.submit(platform.send, "entry-1", "/look/1", method="GET")
-        # The request is on its way; what loads takes ten times as long.
+        # Time for the request to arrive; loading the daemon takes ten times as long.
         time.sleep(0.03)
         entry.process.terminate()
         context.answer = waiting.result(WAIT_S)
     context.ended = entry.process
 
 
-def connects(port: int) -> bool:
-    """Return whether something listens there."""
+def accepts_connections(port: int) -> bool:
+    """Return whether the port accepts connections."""
     try:
         socket.create_connection((HOST, port), timeout=1.0).close()
     except OSError:
@@ -142,13 +142,13 @@
     return True
 
 
-@then("the caller gets its answer, and the entry ends by itself with status 0")
+@then("the caller gets its response, and the entry exits with status 0")
 def step_early_stopped(context):
     assert context.answer.status == 200, context.answer
     assert context.ended.wait() == 0
 
 
-@when("its settings change to keys of {ms:d} ms and it gets SIGHUP")
+@when("its settings change to accept keys for {ms:d} ms and it gets SIGHUP")
 def step_sighup(context, ms):
     entry = context.platform.entries["entry-1"]
     with open(entry.settings_path) as settings:
@@ -163,7 +163,7 @@
     context.silent_s = time.monotonic()
 
 
-@then("it lives, and honours keys for no longer than that")
+@then("it stays alive, and accepts keys for no longer than that")
 def step_sighup_lives(context):
     def refused() -> bool:
         answer = context.platform.send("entry-1", "/look/1", method="GET")
@@ -174,7 +174,7 @@
     assert context.platform.entries["entry-1"].process.alive()
 
 
-@when("the entry is killed and started again")
+@when("the entry is killed and restarted")
 def step_killed(context):
     context.platform.entries["entry-1"].process.kill()
     context.platform.restart("entry-1")
--- a/features/steps/platform_words_steps.py
+++ b/features/steps/platform_words_steps.py
@@ -1,4 +1,4 @@
-"""Steps about decoding what the platform sends, without processes."""
+"""Steps about decoding the platform's data, without processes."""
 
 import ast
 import json
@@ -24,8 +24,8 @@
 from standins.platformdeployment import SETTINGS, configuration as example, route
 
 
-def takes_anything(strategy, decode) -> None:
-    """Check that decoding never raises, whatever it is given."""
+def check_never_raises(strategy, decode) -> None:
+    """Check that decoding never raises for generated values."""
 
     def check(value) -> None:
         decode(value)
@@ -35,8 +35,8 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 PACKAGE = ROOT / "lavenderspoke"
-# What the platform calls things; none of it belongs into the product's modules.
-WORDS = (
+# The platform's names, which must not occur in modules outside the adapter.
+PLATFORM_NAMES = (
     "X-Attempt-Id",
     "X-Deadline-Ms",
     "X-Token-Usage",
@@ -54,8 +54,8 @@
     "node-name",
     "LAVENDERSPOKE_CONFIG",
 )
-# Modules of direct dispatch that decide, and what they must not import.
-DECISIONS = (
+# Decision modules of direct dispatch, and what they must not import.
+DECISION_MODULES = (
     "catalog",
     "decoderate",
     "health",
@@ -67,7 +67,15 @@
     "sharing",
     "usage",
 )
-SHELLS = {"socket", "threading", "time", "urllib3", "cheroot", "pynng", "http"}
+FORBIDDEN_IMPORTS = {
+    "socket",
+    "threading",
+    "time",
+    "urllib3",
+    "cheroot",
+    "pynng",
+    "http",
+}
 
 
 def settings_text(**changes) -> str:
@@ -83,7 +91,7 @@
     return SETTINGS.format(**(values | changes))
 
 
-@then("the settings file is read with its addresses, seconds and parts")
+@then("the settings file is parsed with its addresses and units")
 def step_settings(context):
     read = settings.parse(settings_text()).unwrap()
     assert read.direct.name == "edge-1"
@@ -92,7 +100,7 @@
     assert read.store.port == 8225
 
 
-@then("all mistakes of a settings file are told at once")
+@then("all errors in a settings file are reported together")
 def step_mistakes(context):
     text = settings_text(callers="x", store="nowhere").replace("zone=here", "zone=")
     mistakes = settings.parse(text).unwrap_err().mistakes
@@ -127,7 +135,7 @@
     assert catalog.limits.idle_timeout_s == 15.0
 
 
-@then("the longest prefix of a path wins, over {count:d} routes")
+@then("the longest path prefix matches, among {count:d} routes")
 def step_prefixes(context, count):
     routes = [route(f"r{n}/{n}", "idempotent", "s") for n in range(count)]
     routes += [route("r7", "idempotent", "s"), route("r7/7/7", "idempotent", "s")]
@@ -144,14 +152,14 @@
     assert catalog.route_for("other.example", "/r7/") is None
 
 
-@then("no bytes given as a configuration raise")
+@then("decoding a configuration never raises")
 def step_fuzz_configuration(context):
     fields = strategies.sampled_from(
         ["version", "routes", "services", "tenants", "limits", "kind", "name"]
     )
     shaped = strategies.dictionaries(fields, JSON, max_size=6)
-    takes_anything(shaped, lambda value: configuration.decode(encoded(value)))
-    takes_anything(strategies.binary(max_size=60), configuration.decode)
+    check_never_raises(shaped, lambda value: configuration.decode(encoded(value)))
+    check_never_raises(strategies.binary(max_size=60), configuration.decode)
     for text in (b'{"version": Infinity}', b'{"version": 1, "routes": [[]]}', b"[]"):
         assert isinstance(configuration.decode(text), Err), text
 
@@ -161,10 +169,10 @@
     return struct.pack(">I", len(content)) + content
 
 
-@then("records and dropped keys are read, and those without sense are skipped")
+@then("records and deleted keys are decoded, and malformed ones are skipped")
 def step_records(context):
-    nonsense = struct.pack(">I", 3) + b"\xff\x00\x00"
-    data = struct.pack(">QQ", 9, 0) + wire_record("a", b"1") + nonsense
+    malformed = struct.pack(">I", 3) + b"\xff\x00\x00"
+    data = struct.pack(">QQ", 9, 0) + wire_record("a", b"1") + malformed
     data += wire_record("b", b"")
     read = store.decode_records(data, 4).unwrap()
     assert read.records == (
@@ -175,14 +183,14 @@
     assert isinstance(store.decode_records(data[:-2], 4), Err)
 
 
-@then("no bytes given as an answer of the store raise")
+@then("decoding a store response never raises")
 def step_fuzz_store(context):
-    takes_anything(
+    check_never_raises(
         strategies.binary(max_size=80), lambda data: store.decode_records(data, 0)
     )
-    takes_anything(strategies.binary(max_size=80), store.decode_page)
-    takes_anything(strategies.binary(max_size=80), store.decode_offset_expired)
-    takes_anything(
+    check_never_raises(strategies.binary(max_size=80), store.decode_page)
+    check_never_raises(strategies.binary(max_size=80), store.decode_offset_expired)
+    check_never_raises(
         strategies.lists(JSON, max_size=3),
         lambda items: store.decode_newest(items, 0),
     )
@@ -208,7 +216,7 @@
     return sorted(each.upstream_id for each in registry.upstreams(now_s))
 
 
-@then("an older read changes nothing")
+@then("an older snapshot or record changes nothing")
 def step_older(context):
     registry = Registry()
     registry.apply((record("a", 5, upstream_value("draining")),), 0.0)
@@ -219,14 +227,14 @@
     assert names(registry, 0.0) == []
 
 
-@then("a key that is dropped is gone at once")
+@then("an upstream whose key is deleted is removed at once")
 def step_dropped(context):
     registry = Registry()
     registry.apply((record("a", 1, upstream_value()), record("a", 2, None)), 0.0)
     assert names(registry, 0.0) == []
 
 
-@then("after a gap, what isn't among the newest records is gone")
+@then("after a gap, an upstream missing from the snapshot is removed")
 def step_gap(context):
     registry = Registry()
     both = (record("a", 1, upstream_value()), record("b", 2, upstream_value()))
@@ -235,14 +243,14 @@
     assert names(registry, 0.0) == ["b"]
 
 
-@then("a record without sense leaves the one before")
+@then("a malformed record leaves the previous one in force")
 def step_nonsense(context):
     registry = Registry()
     registry.apply((record("a", 1, upstream_value()), record("a", 2, b"[]")), 0.0)
     assert names(registry, 0.0) == ["a"]
 
 
-@then("an upstream whose record lapsed while the store was away stays")
+@then("an upstream whose record expired during a store outage stays")
 def step_lapsed(context):
     registry = context.registry = Registry()
     both = (record("a", 1, upstream_value()), record("b", 2, upstream_value()))
@@ -252,7 +260,7 @@
     assert names(registry, 10.0) == ["a", "b"]
 
 
-@then("it is gone {seconds:d} s after the return unless its record is back")
+@then("it is gone {seconds:d} s after the recovery unless its record is renewed")
 def step_gone(context, seconds):
     registry = context.registry
     registry.apply((record("a", 5, upstream_value()),), 11.0)
@@ -266,13 +274,13 @@
     return force
 
 
-def caller_head(**said) -> RequestHead:
+def caller_head(**fields) -> RequestHead:
     return RequestHead(
-        request_id="a1", method="POST", target="/", host="h", headers=(), **said
+        request_id="a1", method="POST", target="/", host="h", headers=(), **fields
     )
 
 
-def reservation_call(**said):
+def reservation_request_for(**fields):
     upstream = Upstream(
         upstream_id="i-1@5",
         name="i-1",
@@ -282,13 +290,13 @@
         data_centre="here",
         slots=1,
     )
-    head = caller_head(**said)
+    head = caller_head(**fields)
     return PlatformDialect().reservation_request(head=head, upstream=upstream)
 
 
-@then("a place is asked for with the upstream's name, and room for the whole answer")
+@then("the reservation request has the upstream's name and the total tokens")
 def step_reservation_call(context):
-    call = reservation_call(
+    call = reservation_request_for(
         prompt_tokens=700, max_output_tokens=90, expected_output_tokens=30
     )
     assert (call.method, call.target) == ("POST", "/v1/hold-take"), call
@@ -296,7 +304,7 @@
     assert json.loads(call.body) == {"token-count": 790, "ttl-ms": 500}, call
 
 
-@then("none is asked for a request that says nothing of its tokens")
+@then("no reservation is made for a request without token counts")
 def step_no_reservation_call(context):
     assert PlatformDialect().supports_reservation(caller_head(prompt_tokens=700))
     assert not PlatformDialect().supports_reservation(caller_head())
@@ -304,12 +312,12 @@
 
 @attrs.frozen(kw_only=True)
 class Status:
-    """As much of an exchange as a reservation is read from."""
+    """The part of a response that `parse_reservation` uses."""
 
     status: int
 
 
-@then("what an upstream answers is a reserved place only if it names one")
+@then("a response is a reservation only if it has a valid id")
 def step_reservation(context):
     dialect = PlatformDialect()
 
@@ -322,10 +330,10 @@
     for body in (b"", b"{}", b'{"retention": 7}', b'{"retention": ""}'):
         assert reserved(200, body) is None, body
     assert reserved(200, b'{"retention": "a\\r\\nX-Tenant: b"}') is None
-    takes_anything(strategies.binary(), lambda body: reserved(200, body))
+    check_never_raises(strategies.binary(), lambda body: reserved(200, body))
 
 
-@then("a read counts from when it was sent")
+@then("a read's age counts from when it was sent")
 def step_sent(context):
     clock = ManualClock(start_s=10.0)
     force = in_force(clock)
@@ -336,7 +344,7 @@
     assert not force.is_fresh()
 
 
-@then("a suspension of the machine counts")
+@then("the time that the machine is suspended counts")
 def step_suspension(context):
     clock = ManualClock()
     force = in_force(clock)
@@ -352,29 +360,29 @@
     assert force.catalog.version == 5
 
 
-def head_of(lengths: str, expected: str) -> RequestHead:
+def head_with_counts(lengths: str, expected: str) -> RequestHead:
     headers = [("X-Attempt-Id", "a"), ("X-Token-Usage", lengths)]
     headers.append(("X-Length-Hint", expected))
     return PlatformDialect().parse_request("POST", "/a/", headers).unwrap()
 
 
-@then("a request's lengths are read, and its answer is expected to be as said")
+@then("a request's token counts are parsed, with the expected output tokens")
 def step_lengths(context):
-    head = head_of("6610,3840", "382")
+    head = head_with_counts("6610,3840", "382")
     assert (head.prompt_tokens, head.max_output_tokens) == (6610, 3840)
     assert head.total_tokens == 10450 and head.answer_tokens == 382
 
 
-@then("an expected length beyond the longest counts as the longest")
+@then("expected output tokens above the maximum count as the maximum")
 def step_expected_beyond(context):
-    assert head_of("6610,3840", "9000").answer_tokens == 3840
+    assert head_with_counts("6610,3840", "9000").answer_tokens == 3840
 
 
-@then("no header of a length raises, and those without sense say nothing")
+@then("no token count header raises, and malformed ones are ignored")
 def step_lengths_without_sense(context):
     for text in ("", "-1", "1.5", "\u00b2", "\u0663", "9" * 5000, "0x10", "many"):
-        assert head_of(f"{text},3840", text).answer_tokens == 0
-        assert head_of("6610,3840", text).answer_tokens == 3840
+        assert head_with_counts(f"{text},3840", text).answer_tokens == 0
+        assert head_with_counts("6610,3840", text).answer_tokens == 3840
 
 
 def last_event(text: str):
@@ -382,10 +390,7 @@
     return PlatformDialect().parse_request("GET", "/a/", headers)
 
 
-@then(
-    "it is read if it is a number that a stream's events may have, and refused "
-    "otherwise"
-)
+@then("it is accepted if it is a valid event id, and rejected otherwise")
 def step_last_event(context):
     for text in ("0", "17", "007", "9" * 18):
         assert last_event(text).unwrap().last_event_id == text, text
@@ -413,25 +418,25 @@
     ]
 
 
-@then("no module outside the adapter names what the platform calls things")
+@then("no module outside the adapter contains the platform's names")
 def step_words(context):
     for path in modules_outside():
         text = path.read_text()
-        found = [word for word in WORDS if word in text]
+        found = [word for word in PLATFORM_NAMES if word in text]
         assert not found, (path, found)
         roots = [each for each in imported_modules(path) if "platform" in each]
         assert not any(each.split(".")[1:2] == ["platform"] for each in roots), path
 
 
-@then("no decision imports a socket, a thread or a clock of its own")
+@then("no decision module imports sockets, threads or clocks")
 def step_decisions(context):
-    for name in DECISIONS:
+    for name in DECISION_MODULES:
         imported = imported_modules(PACKAGE / "direct" / f"{name}.py")
         roots = {each.partition(".")[0] for each in imported}
-        assert not roots & SHELLS, (name, roots)
+        assert not roots & FORBIDDEN_IMPORTS, (name, roots)
 
 
-@then("the deployed packages are those of the project")
+@then("the deployed packages are dependencies of the project")
 def step_packages(context):
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     deployed = (ROOT / "deploy" / "requirements.txt").read_text().split("\n")
