--- a/lavenderspoke/platform/store.py
+++ b/lavenderspoke/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: a log whose topics may hold keys."""
+"""The only client of the platform's store, a log whose topics may have keys."""
 
 import base64
 import binascii
@@ -19,22 +19,22 @@
 from lavenderspoke.direct.settings import Address
 from lavenderspoke.platform.decoding import parse
 
-# What an answer may take beyond the time that the store was asked to wait, in
-# seconds: its answers take milliseconds, and much longer only when it is ill.
-ANSWER_S = 0.8
-CONNECT_S = 0.5
-LENGTH = struct.Struct(">I")
-OFFSETS = struct.Struct(">QQ")
+# Read timeout beyond the requested wait, in seconds: the store responds within
+# milliseconds, and takes much longer only if it is faulty.
+RESPONSE_MARGIN_S = 0.8
+CONNECT_TIMEOUT_S = 0.5
+LENGTH_PREFIX = struct.Struct(">I")
+OFFSETS_HEADER = struct.Struct(">QQ")
 PAGES_MAX = 1000
 
 
 @attrs.frozen(kw_only=True)
 class Conflict:
-    """A write that was not made, since others had written first."""
+    """A conditional write that was rejected, since the topic has changed."""
 
 
 class Store:
-    """A client with one kept connection; used by one thread."""
+    """A client with one persistent connection, for use by a single thread."""
 
     def __init__(self, *, address: Address):
         self._pool = urllib3.HTTPConnectionPool(
@@ -44,8 +44,8 @@
     def newest(self, topic: str) -> Result[RecordBatch, StoreError]:
         """Return the newest record of each key of a topic.
 
-        The pages are not a snapshot: reading on from the first page's end shows
-        again what changed between them.
+        The pages are not a consistent snapshot: reading on from the first page's end
+        offset returns changes made between them again.
         """
         items: list[dict] = []
         next_offset = None
@@ -69,16 +69,16 @@
     def read(
         self, topic: str, from_offset: int, *, wait_s: float
     ) -> Result[RecordBatch | OffsetExpired, StoreError]:
-        """Return the records from an offset on, waiting for one up to `wait_s`."""
+        """Return the records from an offset on; wait up to `wait_s` for the first."""
         query: dict[str, object] = {"topic": topic, "part": 0, "from": from_offset}
         if wait_s > 0.0:
             query["wait-ms"] = round(wait_s * 1000)
-        response = self._get("/v1/log-read", query, wait_s=wait_s, gone_allowed=True)
+        response = self._get("/v1/log-read", query, wait_s=wait_s, allow_gone=True)
         if isinstance(response, Err):
             return response
         reply = response.ok_value
         if reply.status == 410:
-            return decode_forgotten(reply.data)
+            return decode_offset_expired(reply.data)
         return decode_records(reply.data, from_offset)
 
     def append(
@@ -89,20 +89,20 @@
         *,
         end_offset: int | None = None,
     ) -> Result[None, StoreError | Conflict]:
-        """Put the newest value of a key, or drop the key.
+        """Write a key's value, or delete the key if `value` is None.
 
-        With `end_offset`, only if nothing was written behind that offset.
+        With `end_offset`, only if the topic still ends at that offset.
         """
         name = key.encode()
         content = bytes([len(name)]) + name + (value or b"")
         query: dict[str, object] = {"topic": topic, "part": 0}
         if end_offset is not None:
-            # The platform's name for the offset at which the topic must end.
+            # The platform calls the expected end offset `timestamp`.
             query["timestamp"] = end_offset
         sent = self._call(
             "POST",
             f"/v1/log-append?{urlencode(query)}",
-            body=LENGTH.pack(len(content)) + content,
+            body=LENGTH_PREFIX.pack(len(content)) + content,
             wait_s=0.0,
         )
         if isinstance(sent, Ok) and sent.ok_value.status == 412:
@@ -110,25 +110,27 @@
         return sent.and_then(_expect_ok)
 
     def _get(
-        self, path: str, query: dict, *, wait_s: float, gone_allowed: bool = False
+        self, path: str, query: dict, *, wait_s: float, allow_gone: bool = False
     ) -> Result[urllib3.BaseHTTPResponse, StoreError]:
         called = self._call("GET", f"{path}?{urlencode(query)}", wait_s=wait_s)
         if isinstance(called, Err):
             return called
-        if gone_allowed and called.ok_value.status == 410:
+        if allow_gone and called.ok_value.status == 410:
             return called
         return called.and_then(lambda reply: _expect_ok(reply).map(lambda _: reply))
 
     def _call(
         self, method: str, target: str, *, wait_s: float, body: bytes | None = None
     ) -> Result[urllib3.BaseHTTPResponse, StoreError]:
-        timeout = urllib3.Timeout(connect=CONNECT_S, read=wait_s + ANSWER_S)
+        timeout = urllib3.Timeout(
+            connect=CONNECT_TIMEOUT_S, read=wait_s + RESPONSE_MARGIN_S
+        )
         try:
             reply = self._pool.urlopen(
                 method, target, body=body, timeout=timeout, retries=False
             )
         except (HTTPError, OSError, ValueError) as error:
-            # Nothing more comes on a connection that lost an answer.
+            # A connection that missed a response can't be reused.
             self._pool.close()
             self._pool = urllib3.HTTPConnectionPool(
                 self._pool.host, self._pool.port, maxsize=1, block=False
@@ -145,7 +147,7 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """One page of the newest records; `after` is the key to go on behind, if any."""
+    """One page of the newest records; `after` is the key to continue after, if any."""
 
     items: list
     end_offset: int
@@ -153,7 +155,7 @@
 
 
 def decode_page(data: bytes) -> Result[Page, StoreError]:
-    """Decode a page, whose single items may still make no sense."""
+    """Decode a page, without validating its items."""
     parsed = parse(data)
     if isinstance(parsed, Err):
         return Err(StoreError(detail=f"malformed page: {parsed.err_value}"))
@@ -188,34 +190,34 @@
     )
 
 
-def decode_forgotten(data: bytes) -> Result[OffsetExpired, StoreError]:
+def decode_offset_expired(data: bytes) -> Result[OffsetExpired, StoreError]:
     parsed = parse(data)
     if isinstance(parsed, Ok) and isinstance(parsed.ok_value, dict):
         first_offset = parsed.ok_value.get("first-offset")
         if type(first_offset) is int:
             return Ok(OffsetExpired(first_offset=first_offset))
-    return Err(StoreError(detail="malformed refusal"))
+    return Err(StoreError(detail="malformed offset-expired response"))
 
 
 def decode_records(data: bytes, from_offset: int) -> Result[RecordBatch, StoreError]:
-    """Decode an answer: the end and the first offset, then length and content.
+    """Decode a response: the end and first offsets, then length-prefixed records.
 
-    A record whose content makes no sense is skipped and counted; a length that
-    doesn't fit the answer spoils all of it.
+    A record with malformed content is skipped and counted; a length beyond the end of
+    the response makes all of it invalid.
     """
-    if len(data) < OFFSETS.size:
-        return Err(StoreError(detail="answer without offsets"))
+    if len(data) < OFFSETS_HEADER.size:
+        return Err(StoreError(detail="response without offsets"))
     records, skipped = [], 0
-    at, offset = OFFSETS.size, from_offset
+    at, offset = OFFSETS_HEADER.size, from_offset
     while at < len(data):
-        if at + LENGTH.size > len(data):
-            return Err(StoreError(detail="cut record"))
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
+        if at + LENGTH_PREFIX.size > len(data):
+            return Err(StoreError(detail="truncated record"))
+        (length,) = LENGTH_PREFIX.unpack_from(data, at)
+        at += LENGTH_PREFIX.size
         content = data[at : at + length]
         if len(content) != length:
-            return Err(StoreError(detail="cut record"))
-        record = _keyed(content, offset)
+            return Err(StoreError(detail="truncated record"))
+        record = _decode_keyed(content, offset)
         if record is None:
             skipped += 1
         else:
@@ -225,7 +227,7 @@
     return Ok(RecordBatch(records=tuple(records), next_offset=offset, skipped=skipped))
 
 
-def _keyed(content: bytes, offset: int) -> KeyedRecord | None:
+def _decode_keyed(content: bytes, offset: int) -> KeyedRecord | None:
     if not content or len(content) < 1 + content[0]:
         return None
     end = 1 + content[0]
