--- a/features/explain.feature
+++ b/features/explain.feature
@@ -23,8 +23,8 @@
   Scenario: A request may have run, but no answer arrived
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every desk upstream answers "truncate"
-    When 1 repeatable and 1 single requests are sent through the entry
-    And the single one's id is explained from the entry's log
+    When 1 idempotent and 1 at-most-once requests are sent through the entry
+    And the at-most-once one's id is explained from the entry's log
     Then the explanation contains "It may have run, but no complete answer arrived."
 
   Scenario: Lines are truncated, from other programs or out of order
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -34,7 +34,7 @@
     explain(context, logged_id(context, "no_room" if refused else "broken"))
 
 
-@when("the single one's id is explained from the entry's log")
+@when("the at-most-once one's id is explained from the entry's log")
 def step_explain_single(context):
     explain(context, logged_id(context, "answer_incomplete"))
 
