--- a/features/corebag.py
+++ b/features/corebag.py
@@ -33,7 +33,7 @@
 )
 from lavenderspoke.entrycore import EntryCore, EntryIdentity, EntryTimes
 from lavenderspoke.envelope import Envelope
-from lavenderspoke.following import FollowingTimes
+from lavenderspoke.following import GrantTimeouts
 from lavenderspoke.gateway import Arrival, Sending
 from lavenderspoke.joining import Joining
 from lavenderspoke.model import Call, Head, InstanceId
@@ -205,7 +205,7 @@
             identity=EntryIdentity(me=me, address=name, data_centre="a"),
             times=EntryTimes(
                 roster_lease_s=self.settings.roster_lease_s,
-                following=FollowingTimes(silence_s=3.0),
+                grant_timeouts=GrantTimeouts(silence_timeout_s=3.0),
             ),
             random=Random(1),
             new_id=self.new_id,
@@ -435,7 +435,7 @@
 
     @_perform.register
     def _(self, action: entryevents.ReadRoster, instance: Instance) -> None:
-        instance.feed.want(action.read_id)
+        instance.feed.request_read(action.read_id)
         instance.jobs.append(instance.feed.poll)
 
     @_perform.register
--- a/features/steps/model_traces_steps.py
+++ b/features/steps/model_traces_steps.py
@@ -22,7 +22,7 @@
 )
 from lavenderspoke.core import Tick
 from lavenderspoke.entryevents import (
-    DrainWanted,
+    DrainRequested,
     PeersListed,
     ReadRoster,
     RosterReached,
@@ -134,7 +134,7 @@
 
 @when("the traced entry is told to stop")
 def step_stop_entry(context):
-    context.trace.feed(DrainWanted())
+    context.trace.feed(DrainRequested())
 
 
 def has_ended(context) -> bool:
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from lavenderspoke.membership.memberlist import Member, Role
-from lavenderspoke.membership.subset import choose
+from lavenderspoke.membership.subset import choose_entries
 
 
 def centre(number: int, centres: int) -> str:
@@ -12,7 +12,7 @@
 
 def pick(context) -> dict[str, tuple[str, ...]]:
     return {
-        name: choose(name, own_centre, tuple(context.entries), context.count)
+        name: choose_entries(name, own_centre, tuple(context.entries), context.count)
         for name, own_centre in context.agents.items()
     }
 
--- a/lavenderspoke/agent.py
+++ b/lavenderspoke/agent.py
@@ -97,7 +97,7 @@
         return Periodic(name=name, period_s=period_s, work=work)
 
     def members_read(self) -> None:
-        names = subset.choose(
+        names = subset.choose_entries(
             self.me.name,
             self.settings.data_centre,
             self.directory.members(Role.ENTRY),
--- a/lavenderspoke/arrivalchecks.py
+++ b/lavenderspoke/arrivalchecks.py
@@ -6,7 +6,7 @@
 from lavenderspoke.model import Ran
 from lavenderspoke.problems import Problem, Reason
 from lavenderspoke.servicestate import ServiceState
-from lavenderspoke.tracked import Tracked
+from lavenderspoke.tracked import TrackedRequest
 
 # Retry-After of an entry that is draining or has no document yet: another entry
 # can serve the caller, or this one once it has the document.
@@ -47,7 +47,7 @@
 
     def _check_floor(self, state: ServiceState, arrival, now_s) -> Problem | None:
         rank = arrival.call.tier
-        if not state.below_floor(rank, now_s):
+        if not state.is_below_floor(rank, now_s):
             return None
         return refusal(Reason.SHED, state.retry_after_s(rank, now_s))
 
@@ -78,7 +78,7 @@
     return Problem(reason=reason, ran=Ran.NO, retry_after_s=retry_after_s)
 
 
-def ran_when_dropped(tracked: Tracked) -> Ran:
+def ran_when_dropped(tracked: TrackedRequest) -> Ran:
     """Return UNKNOWN if a request that this entry drops may have run, else NO.
 
     It is NO only if no agent has it, it isn't a re-send, and no other attempt was
@@ -87,5 +87,5 @@
     dropped, and an earlier attempt may then run.
     """
     is_resend = tracked.call.key and tracked.arrival.sending is Sending.RESEND
-    in_doubt = tracked.is_out or is_resend or tracked.is_contested
+    in_doubt = tracked.is_with_agent or is_resend or tracked.is_contested
     return Ran.UNKNOWN if in_doubt else Ran.NO
--- a/lavenderspoke/dropping.py
+++ b/lavenderspoke/dropping.py
@@ -14,7 +14,7 @@
 from lavenderspoke.problems import Problem, Reason
 from lavenderspoke.servicestate import ServiceState
 from lavenderspoke.shedding import DropBelow
-from lavenderspoke.tracked import Tracked, TrackedRequests
+from lavenderspoke.tracked import TrackedRequest, TrackedRequests
 from lavenderspoke.views import PeerViews
 
 # Share of `requests_max` above which the lowest tiers are shed. Each request
@@ -41,7 +41,9 @@
         """
         excess = len(self.requests) - int(self.requests_max * SHED_ABOVE_SHARE)
         is_forced = len(self.requests) >= self.requests_max
-        dropped, actions = state.victims(now_s, self.peers.ids(), excess, is_forced)
+        dropped, actions = state.remove_victims(
+            now_s, self.peers.ids(), excess, is_forced
+        )
         ended = [
             self.finish_with(each.call.request_id, Reason.SHED) for each in dropped
         ]
@@ -72,12 +74,12 @@
         )
 
     def _drop(
-        self, service: str, reason: Reason, matches: Callable[[Tracked], bool]
+        self, service: str, reason: Reason, matches: Callable[[TrackedRequest], bool]
     ) -> list[Finish]:
         return [
             self.finish_with(each.request_id, reason)
             for each in self.requests
-            if each.call.service == service and not each.is_out and matches(each)
+            if each.call.service == service and not each.is_with_agent and matches(each)
         ]
 
     def drop_expired(self, state: ServiceState, now_s: float) -> list[Finish]:
--- a/lavenderspoke/entry.py
+++ b/lavenderspoke/entry.py
@@ -10,7 +10,7 @@
 from lavenderspoke.dispatching import EntryPolicy
 from lavenderspoke.entrycore import EntryCore, EntryIdentity, EntryTimes
 from lavenderspoke.entrygateway import EntryGateway
-from lavenderspoke.following import FollowingTimes
+from lavenderspoke.following import GrantTimeouts
 from lavenderspoke.http.server import Tls
 from lavenderspoke.membership.memberlist import Role
 from lavenderspoke.periodic import Periodic
@@ -66,7 +66,7 @@
             agent_lost_s=settings.silence_s,
             peer_lost_s=settings.silence_s,
             roster_lease_s=settings.roster_lease_s,
-            following=FollowingTimes(grant_answer_s=settings.grant_answer_s),
+            grant_timeouts=GrantTimeouts(grant_timeout_s=settings.grant_answer_s),
         )
         return EntryCore(
             identity=identity,
@@ -97,7 +97,7 @@
 
     def drain(self) -> None:
         # Signal handlers must return at once; the core finishes what it has.
-        self.loop.post(events.DrainWanted())
+        self.loop.post(events.DrainRequested())
         self.exit_after_drain()
 
     def ready(self) -> bool:
@@ -117,7 +117,7 @@
 
     @perform.register
     def _(self, action: events.ReadRoster) -> None:
-        self.roster.want(action.read_id)
+        self.roster.request_read(action.read_id)
         self.roster_part.wake()
 
 
--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -19,7 +19,7 @@
 from lavenderspoke.documents.service import Kind, Service
 from lavenderspoke.dropping import RequestDropper
 from lavenderspoke.duequeue import DueQueue
-from lavenderspoke.following import Following, FollowingTimes
+from lavenderspoke.following import GrantFollower, GrantTimeouts
 from lavenderspoke.gateway import AnswerBroken, Sending
 from lavenderspoke.keyclaims import KeyClaims
 from lavenderspoke.membership.roster import Roster
@@ -27,27 +27,27 @@
 from lavenderspoke.problems import Problem, Reason
 from lavenderspoke.servicemessages import ServiceMessages
 from lavenderspoke.servicestate import ServiceState
-from lavenderspoke.tracked import Phase, Tracked, TrackedRequests
+from lavenderspoke.tracked import Phase, TrackedRequest, TrackedRequests
 from lavenderspoke.views import AgentView, AgentViews, PeerViews
 
 # Refusals that say that the key, not the agent, is the trouble.
 KEY_HELD = "key_held"
 KEY_REFUSALS = frozenset({"stale_stamp", KEY_HELD, "claim_lost"})
 # How often the queues are looked at while requests are here.
-CHECK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 # How often a request that an agent has, or whose key is being claimed, is looked
 # at, and one whose answer flows. All of them at each check would take most of a
 # core at 16,000 streams.
-WATCH_S = 0.25
-WATCH_FLOWING_S = 1.0
+WATCH_INTERVAL_S = 0.25
+WATCH_FLOWING_INTERVAL_S = 1.0
 # What an entry holds where nobody says how many threads its callers have.
 REQUESTS_MAX = 100_000
 # Heartbeats between two announcements to an agent.
 ANNOUNCE_EVERY = 5
 # An entry that handled nothing for so long beyond its heartbeat was paused, and
 # what is read within the next while may have come during the pause.
-PAUSE_S = 1.0
-DOUBT_S = 10.0
+PAUSE_THRESHOLD_S = 1.0
+PAUSE_DOUBT_S = 10.0
 # Sending again is pointless for these.
 FINAL_REASONS = frozenset(
     {
@@ -65,9 +65,9 @@
     heartbeat_s: float = 0.5
     agent_lost_s: float = 3.0
     peer_lost_s: float = 3.0
-    claim_s: float = 1.0
+    claim_timeout_s: float = 1.0
     roster_lease_s: float = 900.0
-    following: FollowingTimes = attrs.field(factory=FollowingTimes)
+    grant_timeouts: GrantTimeouts = attrs.field(factory=GrantTimeouts)
 
 
 @attrs.frozen(kw_only=True)
@@ -117,9 +117,11 @@
             peers=self.peers,
             dropper=self.dropper,
         )
-        self.following = Following(requests=self.requests, times=times.following)
+        self.grant_follower = GrantFollower(
+            requests=self.requests, times=times.grant_timeouts
+        )
         self.claims = KeyClaims(
-            roster=self.roster, claim_s=times.claim_s, new_id=new_id
+            roster=self.roster, claim_timeout_s=times.claim_timeout_s, new_id=new_id
         )
         self._random = random
         self._new_id = new_id
@@ -144,8 +146,8 @@
         return actions
 
     def _notice_pause(self, now_s: float) -> None:
-        if now_s - self._handled_s > self.times.heartbeat_s + PAUSE_S:
-            self._doubt_until_s = now_s + DOUBT_S
+        if now_s - self._handled_s > self.times.heartbeat_s + PAUSE_THRESHOLD_S:
+            self._doubt_until_s = now_s + PAUSE_DOUBT_S
         self._handled_s = now_s
 
     def next_due_s(self) -> float:
@@ -162,7 +164,7 @@
             action = pending.pop(0)
             if isinstance(action, events.Finish):
                 pending[:0] = self._finish(action, now_s)
-            elif isinstance(action, events.PutBack):
+            elif isinstance(action, events.DidNotRun):
                 pending[:0] = self._put_back(action, now_s)
             elif isinstance(action, events.Answered):
                 state = self.services[action.call.service]
@@ -174,7 +176,7 @@
     def _timers(self, now_s: float) -> list:
         actions = []
         if self._check_due_s <= now_s:
-            self._check_due_s = now_s + CHECK_S
+            self._check_due_s = now_s + CHECK_INTERVAL_S
             actions += self._check(now_s)
         if self._heartbeat_due_s <= now_s:
             self._heartbeat_due_s = now_s + self.times.heartbeat_s
@@ -194,19 +196,19 @@
                 self._watch(tracked, now_s)
         return actions
 
-    def _check_one(self, tracked: Tracked, now_s: float) -> list:
+    def _check_one(self, tracked: TrackedRequest, now_s: float) -> list:
         if tracked.phase is Phase.CLAIMING:
             return self._check_claims(tracked, now_s)
-        return self.following.check(tracked, now_s)
+        return self.grant_follower.check(tracked, now_s)
 
-    def _watch(self, tracked: Tracked, now_s: float) -> None:
+    def _watch(self, tracked: TrackedRequest, now_s: float) -> None:
         """Look at a request again soon, and at its deadline."""
         is_flowing = tracked.phase is Phase.RUNNING and not tracked.reassembly.has_gap
-        watch_s = WATCH_FLOWING_S if is_flowing else WATCH_S
-        until_deadline_s = max(CHECK_S, tracked.deadline_s - now_s)
+        watch_s = WATCH_FLOWING_INTERVAL_S if is_flowing else WATCH_INTERVAL_S
+        until_deadline_s = max(CHECK_INTERVAL_S, tracked.deadline_s - now_s)
         self._due_queue.add(tracked.request_id, now_s + min(watch_s, until_deadline_s))
 
-    def _claim(self, tracked: Tracked, now_s: float) -> list:
+    def _claim(self, tracked: TrackedRequest, now_s: float) -> list:
         self._watch(tracked, now_s)
         return self.claims.begin(tracked, self._service(tracked), now_s)
 
@@ -313,7 +315,7 @@
         return []
 
     @_on.register
-    def _(self, event: events.DrainWanted, now_s: float) -> list:
+    def _(self, event: events.DrainRequested, now_s: float) -> list:
         self.draining = True
         return self._announce(self._everyone())
 
@@ -324,7 +326,7 @@
 
     @_on.register
     def _(self, event: events.RosterReached, now_s: float) -> list:
-        self.roster.reached(event.offset)
+        self.roster.advance_to(event.offset)
         actions = []
         for tracked in self._reading(event.read_ids):
             actions += self.claims.roster_read(tracked, self._service(tracked), now_s)
@@ -335,11 +337,11 @@
     def _(self, event: events.RosterReadFailed, now_s: float) -> list:
         actions = []
         for tracked in self._reading(event.read_ids):
-            tracked.round.roster_failed()
+            tracked.claim_round.roster_failed()
             actions += self._check_claims(tracked, now_s)
         return actions
 
-    def _reading(self, read_ids: tuple[str, ...]) -> list[Tracked]:
+    def _reading(self, read_ids: tuple[str, ...]) -> list[TrackedRequest]:
         # A read may end after its round gave up. The request may then wait or be
         # granted: taken for one that still claims, it would be put into the queue
         # again, and a second agent would run it.
@@ -347,11 +349,11 @@
             tracked
             for tracked in self.requests
             if tracked.phase is Phase.CLAIMING
-            and tracked.wait_again_s is None
-            and tracked.round.read_id in read_ids
+            and tracked.requeue_at_s is None
+            and tracked.claim_round.read_id in read_ids
         ]
 
-    def _service(self, tracked: Tracked) -> Service:
+    def _service(self, tracked: TrackedRequest) -> Service:
         return self.services[tracked.call.service].service
 
     # Arrival
@@ -370,7 +372,7 @@
             # now it could reach an agent that its re-send, long answered
             # elsewhere, had no cause to ask: a second run. Claims find that out.
             arrival = attrs.evolve(arrival, sending=Sending.RESEND)
-        tracked = Tracked(
+        tracked = TrackedRequest(
             arrival=arrival,
             arrived_s=now_s,
             deadline_s=now_s + arrival.deadline_in_s,
@@ -382,7 +384,7 @@
             return self._claim(tracked, now_s)
         return self._wait(tracked, now_s)
 
-    def _wait(self, tracked: Tracked, now_s: float) -> list:
+    def _wait(self, tracked: TrackedRequest, now_s: float) -> list:
         state = self.services[tracked.call.service]
         tracked.phase = Phase.WAITING
         warm = state.enqueue(tracked, now_s)
@@ -404,7 +406,7 @@
         if tracked is None:
             return []
         actions = []
-        if tracked.is_out:
+        if tracked.is_with_agent:
             cancel = messages.Cancel(request_id=tracked.run_id)
             actions.append(Send(recipient=tracked.agent, message=cancel))
         return [
@@ -414,14 +416,14 @@
 
     # Claims
 
-    def _check_claims(self, tracked: Tracked, now_s: float) -> list:
+    def _check_claims(self, tracked: TrackedRequest, now_s: float) -> list:
         if now_s >= tracked.deadline_s:
             return [
                 self.dropper.finish_with(tracked.request_id, Reason.DEADLINE_EXPIRED)
             ]
         step = self.claims.check(tracked, self._service(tracked), now_s)
         if step.found is not None:
-            found = self.following.attach(
+            found = self.grant_follower.attach(
                 tracked, step.found.agent, step.found.holder, now_s
             )
             return step.actions + found
@@ -441,9 +443,9 @@
         if problem.retry_after_s is None and problem.reason not in FINAL_REASONS:
             retry_after_s = state.retry_after_s(tracked.call.tier, now_s)
             problem = attrs.evolve(problem, retry_after_s=retry_after_s)
-        part = AnswerBroken(problem=problem) if tracked.head_given else problem
+        part = AnswerBroken(problem=problem) if tracked.head_sent else problem
         return [
-            *([] if tracked.is_out else self.claims.give_back(tracked)),
+            *([] if tracked.is_with_agent else self.claims.release(tracked)),
             Count(name="refusals", reason=problem.reason.value),
             Observe(
                 name="given_up_s",
@@ -454,17 +456,17 @@
             events.Reply(request_id=tracked.request_id, part=part),
         ]
 
-    def _put_back(self, put_back: events.PutBack, now_s: float) -> list:
+    def _put_back(self, put_back: events.DidNotRun, now_s: float) -> list:
         """Take a request back that provably did not run."""
         tracked = self.requests.get(put_back.request_id)
         if tracked is None:
             return []
-        self.requests.let_go(tracked)
+        self.requests.release(tracked)
         counted = Count(name="retries", reason=put_back.reason)
         state = self.services[tracked.call.service]
         # Put back below a floor, it would be kept while a higher tier is shed; so
         # would one that goes back to claiming, which waits again after its round.
-        is_below = state.below_floor(tracked.call.tier, now_s)
+        is_below = state.is_below_floor(tracked.call.tier, now_s)
         if put_back.reason == KEY_HELD:
             tracked.is_contested = True
         if put_back.reason in KEY_REFUSALS:
@@ -497,7 +499,7 @@
     @_from.register(messages.Revoked)
     @_from.register(messages.Pieces)
     def _(self, message, sender, now_s) -> list:
-        return self.following.take(message, sender, now_s)
+        return self.grant_follower.receive(message, sender, now_s)
 
     @_from.register(messages.CrashEvidence)
     @_from.register(messages.Quarantined)
@@ -505,7 +507,7 @@
     @_from.register(messages.Floor)
     @_from.register(messages.FloorHeld)
     def _(self, message, sender, now_s) -> list:
-        return self.service_messages.take(message, sender, now_s)
+        return self.service_messages.receive(message, sender, now_s)
 
     @_from.register
     def _(self, message: messages.Announce, sender, now_s) -> list:
@@ -527,7 +529,7 @@
             return []
         state.prefix_index.remove_upstream(announce.upstream)
         can_resume = state.service.upstreams.kind is Kind.MODEL
-        return self.following.succeeded(new, can_resume, now_s)
+        return self.grant_follower.on_successor(new, can_resume, now_s)
 
     @_from.register
     def _(self, message: messages.EntryAnnounce, sender, now_s) -> list:
@@ -550,5 +552,5 @@
         tracked = self.requests.get(message.request_id)
         if tracked is None or tracked.phase is not Phase.CLAIMING:
             return []
-        tracked.round.answered(sender, message)
+        tracked.claim_round.record_answer(sender, message)
         return self._check_claims(tracked, now_s)
--- a/lavenderspoke/entryevents.py
+++ b/lavenderspoke/entryevents.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class DrainWanted:
+class DrainRequested:
     """Take nothing new, finish what there is, then exit."""
 
 
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PutBack:
+class DidNotRun:
     """A granted request provably did not run; within the core only."""
 
     request_id: str
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -13,44 +13,44 @@
 
 from lavenderspoke import messages
 from lavenderspoke.core import Count, Observe, Send
-from lavenderspoke.entryevents import Answered, Finish, PutBack, Reply
+from lavenderspoke.entryevents import Answered, DidNotRun, Finish, Reply
 from lavenderspoke.gateway import AnswerBody, AnswerEnd
 from lavenderspoke.messages import Piece
 from lavenderspoke.model import InstanceId, Ran, Standing
 from lavenderspoke.problems import Problem, Reason
 from lavenderspoke.reassembly import is_complete
-from lavenderspoke.tracked import Phase, Tracked, TrackedRequests
+from lavenderspoke.tracked import Phase, TrackedRequest, TrackedRequests
 
 # "Never", said of a revoke or by a refusal, is trusted for this long after the
 # grant; the ledger remembers what ran for twice as long (`ledger.RUN_MEMORY_S`),
 # so that an entry which was paused can't take a forgotten run for one that never
 # was. A late copy of a grant is refused too once its run is forgotten.
-TRUST_S = 60.0
+NEVER_RAN_TRUST_S = 60.0
 
 
 @attrs.frozen(kw_only=True)
-class FollowingTimes:
+class GrantTimeouts:
     """When silence is asked about and when it is final, in seconds."""
 
-    grant_answer_s: float = 0.25
+    grant_timeout_s: float = 0.25
     attach_after_s: float = 1.0
-    ask_again_s: float = 0.25
-    silence_s: float = 10.0
+    retry_interval_s: float = 0.25
+    silence_timeout_s: float = 10.0
 
 
 @attrs.define(kw_only=True)
-class Following:
+class GrantFollower:
     """The part of an entry that follows what it has granted."""
 
     requests: TrackedRequests
-    times: FollowingTimes
+    times: GrantTimeouts
 
     @functools.singledispatchmethod
-    def take(self, message: object, sender: InstanceId, now_s: float) -> list:
+    def receive(self, message: object, sender: InstanceId, now_s: float) -> list:
         """Take a message from an agent about something it was granted."""
         raise TypeError(f"not about a grant: {message!r}")
 
-    def _granted_on(self, message, sender: InstanceId) -> Tracked | None:
+    def _granted_on(self, message, sender: InstanceId) -> TrackedRequest | None:
         # Any answer may come late or twice, when the request has long been
         # granted elsewhere. Only the one for the grant in force counts.
         tracked = self.requests.get(message.request_id)
@@ -58,37 +58,39 @@
             return None
         return tracked if tracked.nonce and tracked.nonce == message.nonce else None
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Granted, sender, now_s) -> list:
         tracked = self._granted_on(message, sender)
         if tracked is None:
             return []
-        tracked.heard_s = now_s
+        tracked.last_heard_s = now_s
         if tracked.phase is Phase.GRANTED:
             tracked.phase = Phase.RUNNING
         return []
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Refused, sender, now_s) -> list:
         tracked = self._granted_on(message, sender)
         if tracked is None:
             return []
         return self._never(tracked, message.reason, now_s)
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Revoked, sender, now_s) -> list:
         if message.nonce:
             tracked = self._granted_on(message, sender)
             followers = [] if tracked is None else [tracked]
         else:
-            followers = self.requests.following(message.request_id, sender)
+            followers = self.requests.followers(message.request_id, sender)
         actions = []
         for tracked in followers:
             actions += self._stands(tracked, message.standing, now_s)
         return actions
 
-    def _stands(self, tracked: Tracked, standing: Standing, now_s: float) -> list:
-        tracked.heard_s = now_s
+    def _stands(
+        self, tracked: TrackedRequest, standing: Standing, now_s: float
+    ) -> list:
+        tracked.last_heard_s = now_s
         if standing is Standing.NEVER:
             return self._never(tracked, "revoked", now_s)
         if tracked.phase is Phase.GRANTED:
@@ -101,42 +103,42 @@
             return [self._ends(tracked, "the agent does not know it", Ran.UNKNOWN)]
         return []
 
-    def _never(self, tracked: Tracked, reason: str, now_s: float) -> list:
-        if now_s - tracked.granted_s > TRUST_S:
+    def _never(self, tracked: TrackedRequest, reason: str, now_s: float) -> list:
+        if now_s - tracked.granted_s > NEVER_RAN_TRUST_S:
             return [self._ends(tracked, "asked too late", Ran.UNKNOWN)]
-        return [PutBack(request_id=tracked.request_id, reason=reason)]
+        return [DidNotRun(request_id=tracked.request_id, reason=reason)]
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Pieces, sender, now_s) -> list:
         actions = []
         for piece in message.pieces:
-            for tracked in self.requests.following(piece.request_id, sender):
+            for tracked in self.requests.followers(piece.request_id, sender):
                 actions += self._piece(tracked, piece, now_s)
         return actions
 
-    def _piece(self, tracked: Tracked, piece: Piece, now_s: float) -> list:
-        tracked.heard_s = now_s
+    def _piece(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
+        tracked.last_heard_s = now_s
         tracked.phase = Phase.RUNNING
         actions = []
         for ready in tracked.reassembly.add(piece):
             actions += self._part(tracked, ready, now_s)
         return actions
 
-    def _part(self, tracked: Tracked, piece: Piece, now_s: float) -> list:
+    def _part(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
         request_id = tracked.request_id
         if piece.error is not None:
             return [self._ends(tracked, piece.error, Ran.UNKNOWN)]
         if piece.count is not None:
             return self._last(tracked, piece, now_s)
         if piece.head is not None:
-            tracked.head_given = True
+            tracked.head_sent = True
             return [Reply(request_id=request_id, part=piece.head)]
         actions = [Reply(request_id=request_id, part=AnswerBody(body=piece.body))]
         if piece.number == 1:
             actions.append(observe("first_part_s", tracked, now_s))
         return actions
 
-    def _last(self, tracked: Tracked, piece: Piece, now_s: float) -> list:
+    def _last(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
         if not is_complete(piece):
             return [self._ends(tracked, "the count of pieces is wrong", Ran.YES)]
         taken = messages.AnswerTaken(request_id=tracked.run_id)
@@ -150,17 +152,17 @@
             observe("answer_s", tracked, now_s),
         ]
 
-    def _ends(self, tracked: Tracked, detail: str, ran: Ran) -> Finish:
-        incomplete = tracked.head_given or ran is Ran.YES
+    def _ends(self, tracked: TrackedRequest, detail: str, ran: Ran) -> Finish:
+        incomplete = tracked.head_sent or ran is Ran.YES
         reason = Reason.ANSWER_INCOMPLETE if incomplete else Reason.OUTCOME_UNKNOWN
         problem = Problem(reason=reason, ran=ran, detail=detail)
         return Finish(request_id=tracked.request_id, problem=problem)
 
     # Silence
 
-    def check(self, tracked: Tracked, now_s: float) -> list:
+    def check(self, tracked: TrackedRequest, now_s: float) -> list:
         """Ask after a silent request, or give it up when its time is over."""
-        if not tracked.is_out:
+        if not tracked.is_with_agent:
             return []
         if self._is_over(tracked, now_s):
             return [
@@ -170,10 +172,10 @@
                 ),
                 self._ends(tracked, "no answer from the agent", Ran.UNKNOWN),
             ]
-        if now_s - tracked.asked_s < self.times.ask_again_s:
+        if now_s - tracked.last_asked_s < self.times.retry_interval_s:
             return []
-        silent_s = now_s - tracked.heard_s
-        if tracked.phase is Phase.GRANTED and silent_s >= self.times.grant_answer_s:
+        silent_s = now_s - tracked.last_heard_s
+        if tracked.phase is Phase.GRANTED and silent_s >= self.times.grant_timeout_s:
             return self._ask(tracked, self._revoke(tracked), now_s)
         if tracked.phase is Phase.RESUMING:
             return self._ask(tracked, self._resume(tracked), now_s)
@@ -181,41 +183,41 @@
             return self._ask(tracked, self._attach(tracked), now_s)
         return []
 
-    def _is_over(self, tracked: Tracked, now_s: float) -> bool:
+    def _is_over(self, tracked: TrackedRequest, now_s: float) -> bool:
         if now_s < tracked.deadline_s:
             return False
         # An answer that has begun is given whole, however late, as long as its
         # agent is heard of; one that hasn't is of no more use to its caller.
-        silent_s = now_s - tracked.heard_s
-        return not tracked.head_given or silent_s >= self.times.silence_s
+        silent_s = now_s - tracked.last_heard_s
+        return not tracked.head_sent or silent_s >= self.times.silence_timeout_s
 
-    def _ask(self, tracked: Tracked, message, now_s: float) -> list:
-        tracked.asked_s = now_s
+    def _ask(self, tracked: TrackedRequest, message, now_s: float) -> list:
+        tracked.last_asked_s = now_s
         return [
             Count(name="retries", reason=type(message).__name__.lower()),
             Send(recipient=tracked.agent, message=message),
         ]
 
-    def _revoke(self, tracked: Tracked) -> messages.Revoke:
+    def _revoke(self, tracked: TrackedRequest) -> messages.Revoke:
         return messages.Revoke(request_id=tracked.request_id, nonce=tracked.nonce)
 
-    def _attach(self, tracked: Tracked) -> messages.Attach:
+    def _attach(self, tracked: TrackedRequest) -> messages.Attach:
         return messages.Attach(
             request_id=tracked.run_id, number=tracked.reassembly.next_number
         )
 
-    def _resume(self, tracked: Tracked) -> messages.Resume:
+    def _resume(self, tracked: TrackedRequest) -> messages.Resume:
         call = attrs.evolve(tracked.call, request_id=tracked.run_id)
         return messages.Resume(call=call, incarnation="")
 
     def attach(
-        self, tracked: Tracked, agent: InstanceId, run_id: str, now_s: float
+        self, tracked: TrackedRequest, agent: InstanceId, run_id: str, now_s: float
     ) -> list:
         """Follow the run of another attempt from its first piece."""
         self.requests.attach(tracked, agent, run_id, now_s)
         return [Send(recipient=agent, message=self._attach(tracked))]
 
-    def succeeded(self, new: InstanceId, can_resume: bool, now_s: float) -> list:
+    def on_successor(self, new: InstanceId, can_resume: bool, now_s: float) -> list:
         """An agent has a successor: what it had runs on at most upstream.
 
         The old process is gone, since the new one holds its address. Whether
@@ -224,7 +226,7 @@
         """
         actions = []
         for tracked in self.requests:
-            if not tracked.is_out or tracked.agent.name != new.name:
+            if not tracked.is_with_agent or tracked.agent.name != new.name:
                 continue
             if not can_resume:
                 detail = "the agent died; the upstream can't be asked"
@@ -237,7 +239,7 @@
         return actions
 
 
-def observe(name: str, tracked: Tracked, now_s: float) -> Observe:
+def observe(name: str, tracked: TrackedRequest, now_s: float) -> Observe:
     """Return the time since a request arrived, as a measurement."""
     return Observe(
         name=name,
--- a/lavenderspoke/joining.py
+++ b/lavenderspoke/joining.py
@@ -113,7 +113,7 @@
         if known is None or self._join_offset is None:
             return False
         life = known.get(self._identity.me)
-        return life is not None and not life.succeeded
+        return life is not None and not life.superseded
 
     def leave(self, record: RosterRecord) -> None:
         """Append the leave record, once, and say that it was tried."""
--- a/lavenderspoke/ledger.py
+++ b/lavenderspoke/ledger.py
@@ -13,7 +13,7 @@
 from lavenderspoke.model import Call, InstanceId, Standing
 
 # How long the ledger knows an unkeyed request after its answer was taken. An
-# entry trusts "never" only for half of it (see `grants.TRUST_S`).
+# entry trusts "never" only for half of it (see `following.NEVER_RAN_TRUST_S`).
 RUN_MEMORY_S = 120.0
 
 
--- a/lavenderspoke/membership/roster.py
+++ b/lavenderspoke/membership/roster.py
@@ -71,7 +71,7 @@
 
 
 @attrs.define(kw_only=True)
-class Life:
+class AgentIncarnation:
     """What the roster says of one incarnation of an agent.
 
     `heard_s` is when this reader folded the last record about it, on the
@@ -83,10 +83,10 @@
     upstream: str
     address: str
     join_offset: int
-    heard_s: float
+    last_heard_s: float
     left: bool = False
     heir: InstanceId | None = None
-    succeeded: bool = False
+    superseded: bool = False
 
 
 @attrs.define(kw_only=True)
@@ -99,7 +99,7 @@
     lease_s: float
     offset: int = -1
     skipped: int = 0
-    _lives: dict[InstanceId, Life] = attrs.field(factory=dict)
+    _lives: dict[InstanceId, AgentIncarnation] = attrs.field(factory=dict)
 
     def apply(self, *, offset: int, payload: bytes, now_s: float) -> None:
         """Fold one record; an unreadable one is skipped and counted."""
@@ -114,22 +114,22 @@
         else:
             self._leave(decoded.ok_value, now_s)
 
-    def reached(self, offset: int) -> None:
+    def advance_to(self, offset: int) -> None:
         """Note that everything up to `offset` has been read."""
         self.offset = max(self.offset, offset)
 
     def _join(self, join: Join, offset: int, now_s: float) -> None:
         life = self._lives.get(join.agent)
         if life is not None:
-            life.heard_s = now_s
+            life.last_heard_s = now_s
             return
-        life = Life(
+        life = AgentIncarnation(
             agent=join.agent,
             service=join.service,
             upstream=join.upstream,
             address=join.address,
             join_offset=offset if join.join_offset is None else join.join_offset,
-            heard_s=now_s,
+            last_heard_s=now_s,
         )
         self._lives[join.agent] = life
         self._mark_succeeded(join.agent.name)
@@ -139,22 +139,22 @@
         lives = [life for life in self._lives.values() if life.agent.name == name]
         newest = max(life.join_offset for life in lives)
         for life in lives:
-            life.succeeded = life.join_offset < newest
+            life.superseded = life.join_offset < newest
 
     def _leave(self, leave: Leave, now_s: float) -> None:
         life = self._lives.get(leave.agent)
         if life is not None:
             life.left = True
             life.heir = leave.heir
-            life.heard_s = now_s
+            life.last_heard_s = now_s
 
-    def get(self, agent: InstanceId) -> Life | None:
+    def get(self, agent: InstanceId) -> AgentIncarnation | None:
         """Return what is known of an incarnation."""
         return self._lives.get(agent)
 
-    def accountable(
+    def possible_key_holders(
         self, service: str, *, now_s: float, key_lifetime_s: float
-    ) -> list[Life]:
+    ) -> list[AgentIncarnation]:
         """Return the incarnations that may hold a live key of the service.
 
         One that has not been heard of for its lease and a key's lifetime holds
@@ -163,15 +163,17 @@
         reader heard of it, which is later, so the error is on the safe side.
         """
         horizon_s = now_s - self.lease_s - key_lifetime_s
-        expired = [key for key, life in self._lives.items() if life.heard_s < horizon_s]
+        expired = [
+            key for key, life in self._lives.items() if life.last_heard_s < horizon_s
+        ]
         for key in expired:
             del self._lives[key]
         return [life for life in self._lives.values() if life.service == service]
 
-    def alive(self, service: str) -> list[Life]:
+    def alive(self, service: str) -> list[AgentIncarnation]:
         """Return the incarnations that have neither left nor been succeeded."""
         return [
             life
             for life in self._lives.values()
-            if life.service == service and not life.left and not life.succeeded
+            if life.service == service and not life.left and not life.superseded
         ]
--- a/lavenderspoke/membership/subset.py
+++ b/lavenderspoke/membership/subset.py
@@ -11,7 +11,7 @@
 from lavenderspoke.membership.memberlist import Member
 
 
-def choose(
+def choose_entries(
     own_name: str, own_data_centre: str, entries: tuple[Member, ...], count: int
 ) -> tuple[str, ...]:
     """Return the names of at most `count` entries, nearest first.
@@ -20,7 +20,7 @@
     for others where there are any, so that losing a data centre's entries
     leaves its upstreams reachable.
     """
-    ranked = sorted(entries, key=lambda entry: weight(own_name, entry.name))
+    ranked = sorted(entries, key=lambda entry: rendezvous_hash(own_name, entry.name))
     near = [entry for entry in ranked if entry.data_centre == own_data_centre]
     far = [entry for entry in ranked if entry.data_centre != own_data_centre]
     near_count = max(count - len(far), count - count // 2)
@@ -28,6 +28,6 @@
     return tuple(each.name for each in chosen + far[: count - len(chosen)])
 
 
-def weight(agent_name: str, entry_name: str) -> bytes:
+def rendezvous_hash(agent_name: str, entry_name: str) -> bytes:
     """Return what an agent ranks an entry by; the same on every machine."""
     return hashlib.sha256(f"{agent_name}\0{entry_name}".encode()).digest()
--- a/lavenderspoke/reports.py
+++ b/lavenderspoke/reports.py
@@ -34,7 +34,7 @@
     return Counter(
         tracked.call.tier
         for tracked in core.requests
-        if tracked.is_out and tracked.call.service == name
+        if tracked.is_with_agent and tracked.call.service == name
     )
 
 
--- a/lavenderspoke/resend.py
+++ b/lavenderspoke/resend.py
@@ -13,14 +13,14 @@
 import attrs
 
 from lavenderspoke.core import Send
-from lavenderspoke.membership.roster import Life
+from lavenderspoke.membership.roster import AgentIncarnation
 from lavenderspoke.messages import Claim, Claimed, Unclaim
 from lavenderspoke.model import InstanceId, Standing
 
-ASK_AGAIN_S = 0.25
+CLAIM_RETRY_S = 0.25
 
 
-class Claims(enum.Enum):
+class ClaimResult(enum.Enum):
     """How a round ended."""
 
     ALL_HELD = "all_held"  # no attempt has run; this one may be granted
@@ -30,16 +30,16 @@
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class ClaimOutcome:
     """The end of a round; `agent` and `holder` name the run that was found."""
 
-    claims: Claims
+    result: ClaimResult
     agent: InstanceId | None = None
     holder: str | None = None
 
 
 @attrs.define(kw_only=True)
-class ResendRound:
+class ClaimRound:
     """One round of claims for one attempt.
 
     `lifetime_s` is how long the claims are to last at the agents, and
@@ -50,7 +50,7 @@
     key: str
     number: int
     lifetime_s: float
-    until_s: float
+    deadline_s: float
     read_id: str
     stamp: int = -1
     asked: set[InstanceId] | None = None
@@ -58,16 +58,18 @@
     _unreachable: bool = False
     _ask_s: float = 0.0
 
-    def roster_read(self, lives: list[Life], offset: int, now_s: float) -> list[Send]:
+    def roster_read(
+        self, lives: list[AgentIncarnation], offset: int, now_s: float
+    ) -> list[Send]:
         """Ask every incarnation that the roster, read to `offset`, names."""
         self.stamp = offset
         self.asked = set()
         known = {life.agent: life for life in lives}
         for life in lives:
-            target = answering(life, known)
+            target = find_answerer(life, known)
             if target is None:
                 self._unreachable = True
-            elif target is not NOBODY:
+            elif target is not NO_ANSWERER:
                 self.asked.add(target)
         return self.ask(now_s)
 
@@ -79,7 +81,7 @@
         """Ask again those that haven't answered, when it is time."""
         if self.asked is None or now_s < self._ask_s:
             return []
-        self._ask_s = now_s + ASK_AGAIN_S
+        self._ask_s = now_s + CLAIM_RETRY_S
         claim = Claim(
             key=self.key,
             request_id=self.request_id,
@@ -92,13 +94,13 @@
             if agent not in self._answers
         ]
 
-    def answered(self, sender: InstanceId, claimed: Claimed) -> None:
+    def record_answer(self, sender: InstanceId, claimed: Claimed) -> None:
         """Take an agent's answer."""
         current = claimed.round == self.number
         if current and self.asked is not None and sender in self.asked:
             self._answers[sender] = claimed
 
-    def outcome(self, now_s: float) -> Outcome | None:
+    def outcome(self, now_s: float) -> ClaimOutcome | None:
         """Return how the round ended, or None while it goes on.
 
         A run that was found goes before everything: its answer is the answer,
@@ -111,27 +113,33 @@
         }
         for agent, claimed in others.items():
             if claimed.standing is not Standing.CLAIMED:
-                return Outcome(claims=Claims.RAN, agent=agent, holder=claimed.holder)
+                return ClaimOutcome(
+                    result=ClaimResult.RAN, agent=agent, holder=claimed.holder
+                )
         if self._unreachable:
-            return Outcome(claims=Claims.UNKNOWN)
+            return ClaimOutcome(result=ClaimResult.UNKNOWN)
         if self.asked is not None and len(self._answers) == len(self.asked):
-            claims = Claims.TAKEN if others else Claims.ALL_HELD
-            return Outcome(claims=claims)
-        if now_s >= self.until_s:
-            return Outcome(claims=Claims.TAKEN if others else Claims.UNKNOWN)
+            claims = ClaimResult.TAKEN if others else ClaimResult.ALL_HELD
+            return ClaimOutcome(result=claims)
+        if now_s >= self.deadline_s:
+            return ClaimOutcome(
+                result=ClaimResult.TAKEN if others else ClaimResult.UNKNOWN
+            )
         return None
 
-    def give_back(self) -> list[Send]:
+    def release(self) -> list[Send]:
         """Return the messages that free what this round claimed."""
         unclaim = Unclaim(key=self.key, request_id=self.request_id, round=self.number)
         return [Send(recipient=agent, message=unclaim) for agent in self.asked or ()]
 
 
 # What `answering` returns for an incarnation that left and held no key.
-NOBODY = InstanceId(name="", incarnation="")
+NO_ANSWERER = InstanceId(name="", incarnation="")
 
 
-def answering(life: Life, known: dict[InstanceId, Life]) -> InstanceId | None:
+def find_answerer(
+    life: AgentIncarnation, known: dict[InstanceId, AgentIncarnation]
+) -> InstanceId | None:
     """Return who answers for an incarnation's keys; None when nobody can.
 
     One that left cleanly named its heir, who has its keys. One that was
@@ -140,9 +148,9 @@
     seen = set()
     while life.left:
         if life.heir is None:
-            return NOBODY
+            return NO_ANSWERER
         if life.heir in seen or life.heir not in known:
             return None
         seen.add(life.heir)
         life = known[life.heir]
-    return None if life.succeeded else life.agent
+    return None if life.superseded else life.agent
--- a/lavenderspoke/rosterfeed.py
+++ b/lavenderspoke/rosterfeed.py
@@ -20,7 +20,7 @@
         self._next_offset = FIRST_OFFSET
         self.corrupt_offsets: set[int] = set()
 
-    def want(self, read_id: str) -> None:
+    def request_read(self, read_id: str) -> None:
         """Ask for a read that begins after now."""
         with self._lock:
             self._wanted.append(read_id)
--- a/lavenderspoke/servicemessages.py
+++ b/lavenderspoke/servicemessages.py
@@ -22,11 +22,11 @@
     dropper: RequestDropper
 
     @functools.singledispatchmethod
-    def take(self, message: object, sender: InstanceId, now_s: float) -> list:
+    def receive(self, message: object, sender: InstanceId, now_s: float) -> list:
         """Take a message about a service; one that isn't known is ignored."""
         raise TypeError(f"not about a service: {message!r}")
 
-    @take.register
+    @receive.register
     def _(self, message: messages.PrefixHeld, sender, now_s) -> list:
         state = self.services.get(message.service)
         view = self.agents.get(sender)
@@ -37,7 +37,7 @@
             return []
         return [Count(name="prefix_gaps", reason=message.service)]
 
-    @take.register
+    @receive.register
     def _(self, message: messages.CrashEvidence, sender, now_s) -> list:
         state = self.services.get(message.service)
         if state is None:
@@ -50,7 +50,7 @@
             ]
         return actions
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Quarantined, sender, now_s) -> list:
         state = self.services.get(message.service)
         if state is None:
@@ -64,14 +64,14 @@
             *self.dropper.drop_quarantined(verdict.service, verdict.fingerprint),
         ]
 
-    @take.register
+    @receive.register
     def _(self, message: messages.Floor, sender, now_s) -> list:
         state = self.services.get(message.service)
         if state is None:
             return []
         return self.dropper.apply(state.floors.on_floor(sender, message, now_s))
 
-    @take.register
+    @receive.register
     def _(self, message: messages.FloorHeld, sender, now_s) -> list:
         state = self.services.get(message.service)
         if state is None:
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -13,7 +13,7 @@
 from lavenderspoke.poison import CrashHistory
 from lavenderspoke.retrybudget import RetryAllowance
 from lavenderspoke.shedding import FloorCoordinator
-from lavenderspoke.tracked import Tracked
+from lavenderspoke.tracked import TrackedRequest
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import WaitingQueue, WaitingRequest, cost_tokens
 
@@ -21,8 +21,8 @@
 PREFIX_INDEX_ENTRIES_MAX = 50_000
 # While a floor is being asked for, this many times the limit may wait. Past it
 # the memory of the entry goes first, and the order of tiers holds here only.
-HARD_LIMIT = 2
-ANY_RANK = 1 << 30
+HARD_LIMIT_FACTOR = 2
+RANK_BOUND = 1 << 30
 
 
 class ServiceState:
@@ -59,26 +59,26 @@
         self.crashes.reconfigure(service.poison)
         self.retries.reconfigure(service.retry_budget)
 
-    def cached_tokens(self, tracked: Tracked) -> dict[str, int]:
+    def cached_tokens(self, tracked: TrackedRequest) -> dict[str, int]:
         """Return the upstreams believed to hold the request's prefix."""
         hashes = tracked.call.prefix_hashes
         if not hashes:
             return {}
         return self.prefix_index.lookup(hashes, self.service.prefixes.block_tokens)
 
-    def enqueue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
+    def enqueue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
         """Let a request wait; return the upstreams believed warm for it."""
         warm = self.cached_tokens(tracked)
         self.queue.add(self._waiting(tracked, warm), now_s)
         return warm
 
-    def requeue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
+    def requeue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
         """Let a request wait again that was granted and did not run."""
         warm = self.cached_tokens(tracked)
         self.queue.requeue(self._waiting(tracked, warm), now_s)
         return warm
 
-    def _waiting(self, tracked: Tracked, warm: dict[str, int]) -> WaitingRequest:
+    def _waiting(self, tracked: TrackedRequest, warm: dict[str, int]) -> WaitingRequest:
         return WaitingRequest(
             call=tracked.call,
             arrived_s=tracked.arrived_s,
@@ -91,7 +91,7 @@
         """Return when a caller of a tier should come back, with jitter."""
         return self.admission.retry_after_s(rank, now_s, self.queue, self.drain_rate)
 
-    def below_floor(self, rank: int, now_s: float) -> bool:
+    def is_below_floor(self, rank: int, now_s: float) -> bool:
         """Return whether a floor in force keeps this tier out."""
         floor = self.floors.floor_rank(now_s)
         return floor is not None and rank < floor
@@ -107,11 +107,11 @@
         """Return whether the entry's memory is in danger."""
         limits = self.service.waiting
         return (
-            len(self.queue) > limits.requests_max * HARD_LIMIT
-            or self.queue.bytes > limits.bytes_max * HARD_LIMIT
+            len(self.queue) > limits.requests_max * HARD_LIMIT_FACTOR
+            or self.queue.bytes > limits.bytes_max * HARD_LIMIT_FACTOR
         )
 
-    def victims(
+    def remove_victims(
         self, now_s: float, peers: set[InstanceId], excess: int, is_forced: bool
     ) -> tuple[list, list]:
         """Return the requests to drop for want of room, and other actions.
@@ -124,7 +124,7 @@
         """
         dropped, actions = [], []
         while len(self.queue) and (self.is_full() or len(dropped) < excess):
-            victim = self.queue.lowest_victim(ANY_RANK)
+            victim = self.queue.lowest_victim(RANK_BOUND)
             rank = victim.call.tier
             if self.policy.service_wide_shedding:
                 actions += self.floors.request_floor(rank, now_s, peers)
@@ -148,7 +148,7 @@
 
     def push(self, nonce: str, view: AgentView, now_s: float) -> Grant | None:
         """Take out what is pushed to an agent, whatever room it has."""
-        request = self._take(-ANY_RANK, view, now_s)
+        request = self._take(-RANK_BOUND, view, now_s)
         return None if request is None else self._grant(request, nonce, now_s)
 
     def _take(
@@ -166,7 +166,7 @@
         return request
 
     def _highest(self) -> int:
-        return max(self.queue.counts(), default=-ANY_RANK)
+        return max(self.queue.counts(), default=-RANK_BOUND)
 
     def _drained(self, request: WaitingRequest, now_s: float) -> None:
         call = request.call
--- a/lavenderspoke/shedding.py
+++ b/lavenderspoke/shedding.py
@@ -19,7 +19,7 @@
 instead would let the partition fill the entry's memory and lose every tier. An
 entry that has just started may likewise keep lower tiers for up to one heartbeat
 interval, until the sender knows of it. An entry that is about to run out of
-threads or memory drops without waiting (`ServiceState.victims`).
+threads or memory drops without waiting (`ServiceState.remove_victims`).
 """
 
 import itertools
--- a/lavenderspoke/tracked.py
+++ b/lavenderspoke/tracked.py
@@ -7,7 +7,7 @@
 from lavenderspoke.gateway import Arrival
 from lavenderspoke.model import Call, InstanceId
 from lavenderspoke.reassembly import ReassemblyBuffer
-from lavenderspoke.resend import ResendRound
+from lavenderspoke.resend import ClaimRound
 
 
 class Phase(enum.Enum):
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True)
-class Tracked:
+class TrackedRequest:
     """One request and all that the entry knows of it.
 
     `run_id` is the id under which its answer comes: its own, or that of the
@@ -39,16 +39,16 @@
     phase: Phase = Phase.WAITING
     claimed: bool = False
     is_contested: bool = False
-    round: ResendRound | None = None
-    rounds: int = 0
-    wait_again_s: float | None = None
+    claim_round: ClaimRound | None = None
+    claim_rounds: int = 0
+    requeue_at_s: float | None = None
     agent: InstanceId | None = None
     nonce: str = ""
     run_id: str = ""
     granted_s: float = 0.0
-    heard_s: float = 0.0
-    asked_s: float = 0.0
-    head_given: bool = False
+    last_heard_s: float = 0.0
+    last_asked_s: float = 0.0
+    head_sent: bool = False
     reassembly: ReassemblyBuffer = attrs.field(factory=ReassemblyBuffer)
 
     @property
@@ -62,7 +62,7 @@
         return self.arrival.call.request_id
 
     @property
-    def is_out(self) -> bool:
+    def is_with_agent(self) -> bool:
         """Whether an agent has or may have it."""
         return self.phase in (Phase.GRANTED, Phase.RUNNING, Phase.RESUMING)
 
@@ -71,7 +71,7 @@
 class TrackedRequests:
     """Every tracked request, found by its id or by the run that it follows."""
 
-    _by_id: dict[str, Tracked] = attrs.field(factory=dict)
+    _by_id: dict[str, TrackedRequest] = attrs.field(factory=dict)
     _by_run: dict[str, set[str]] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
@@ -80,15 +80,15 @@
     def __iter__(self):
         return iter(list(self._by_id.values()))
 
-    def add(self, tracked: Tracked) -> None:
+    def add(self, tracked: TrackedRequest) -> None:
         """Track a request."""
         self._by_id[tracked.request_id] = tracked
 
-    def get(self, request_id: str) -> Tracked | None:
+    def get(self, request_id: str) -> TrackedRequest | None:
         """Return the request of that id."""
         return self._by_id.get(request_id)
 
-    def remove(self, request_id: str) -> Tracked | None:
+    def remove(self, request_id: str) -> TrackedRequest | None:
         """Forget a request that has its final answer."""
         tracked = self._by_id.pop(request_id, None)
         if tracked is not None:
@@ -96,7 +96,7 @@
         return tracked
 
     def grant(
-        self, tracked: Tracked, agent: InstanceId, nonce: str, now_s: float
+        self, tracked: TrackedRequest, agent: InstanceId, nonce: str, now_s: float
     ) -> None:
         """Note that the right to dispatch a request has gone to an agent."""
         tracked.phase = Phase.GRANTED
@@ -105,37 +105,37 @@
         self._follow(tracked, agent, tracked.request_id, now_s)
 
     def attach(
-        self, tracked: Tracked, agent: InstanceId, run_id: str, now_s: float
+        self, tracked: TrackedRequest, agent: InstanceId, run_id: str, now_s: float
     ) -> None:
         """Note that a request follows the run of an earlier attempt."""
         tracked.phase = Phase.RUNNING
         tracked.nonce = ""
         self._follow(tracked, agent, run_id, now_s)
 
-    def let_go(self, tracked: Tracked) -> None:
+    def release(self, tracked: TrackedRequest) -> None:
         """Note that a request provably did not run and is the entry's again."""
         tracked.phase = Phase.WAITING
         tracked.agent = None
         tracked.nonce = ""
         self._unfollow(tracked)
 
-    def following(self, run_id: str, agent: InstanceId) -> list[Tracked]:
+    def followers(self, run_id: str, agent: InstanceId) -> list[TrackedRequest]:
         """Return the requests whose answer is this run's, at this agent."""
         followers = [self._by_id[each] for each in self._by_run.get(run_id, ())]
         return [tracked for tracked in followers if tracked.agent == agent]
 
     def _follow(
-        self, tracked: Tracked, agent: InstanceId, run_id: str, now_s: float
+        self, tracked: TrackedRequest, agent: InstanceId, run_id: str, now_s: float
     ) -> None:
         self._unfollow(tracked)
         tracked.agent = agent
         tracked.run_id = run_id
-        tracked.heard_s = now_s
-        tracked.asked_s = now_s
+        tracked.last_heard_s = now_s
+        tracked.last_asked_s = now_s
         tracked.reassembly = ReassemblyBuffer()
         self._by_run.setdefault(run_id, set()).add(tracked.request_id)
 
-    def _unfollow(self, tracked: Tracked) -> None:
+    def _unfollow(self, tracked: TrackedRequest) -> None:
         followers = self._by_run.get(tracked.run_id, set())
         followers.discard(tracked.request_id)
         if not followers:
--- a/spec/grant.pml
+++ b/spec/grant.pml
@@ -20,7 +20,7 @@
  *   WITHOUT_REVOKED      no second grant before Refused or Revoked(NEVER)
  *   WITHOUT_WAITING      "not run" is said of a waiting request only
  *   WITHOUT_HOLD         a Refused or Revoked(NEVER) counts only for a time after
- *                        the grant was sent (TRUST_S), since the ledger forgets
+ *                        the grant was sent (NEVER_RAN_TRUST_S): the ledger forgets
  *                        what ran after a longer time (RUN_MEMORY_S)
  *   WITHOUT_RESUME_RULE  an upstream that doesn't know a run makes it unknown
  *   WITHOUT_ONE_SEND     the agent never repeats its HTTP request to the upstream
@@ -44,7 +44,7 @@
 mtype:told told = NOTHING;
 byte holder = 0;
 byte nonce = 0;             /* of the grant in force */
-bool hold_over = false;     /* TRUST_S has passed since it was sent */
+bool hold_over = false;     /* NEVER_RAN_TRUST_S has passed since it was sent */
 bool hold_ended[INCARNATIONS];
 
 /* Messages that were sent. */
