--- a/lavenderspoke/core.py
+++ b/lavenderspoke/core.py
@@ -1,4 +1,4 @@
-"""What every state machine shares: events go in, actions come out.
+"""The events and actions that all state machines share.
 
 Nothing here, and nothing in a module that imports only from the core, has a
 thread, a socket, a sleep, a wall clock or a global random source. A state
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Tick:
-    """Time has passed; timers that are due go off."""
+    """Time has passed; due timers fire."""
 
 
 @attrs.frozen(kw_only=True)
@@ -35,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class Count:
-    """Add to a counter, named after what happened and why.
+    """Add to a counter, identified by its name and a reason.
 
     >>> Count(name="refusals", reason="shed").reason
     'shed'
@@ -48,7 +48,7 @@
 
 @attrs.frozen(kw_only=True)
 class Observe:
-    """Record a duration, in seconds, of a service's tier."""
+    """Record a duration in seconds for a tier of a service."""
 
     name: str
     service: str
--- a/lavenderspoke/entry.py
+++ b/lavenderspoke/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers on one side, agents and other entries on the other."""
+"""The entry daemon: serves callers and talks to agents and other entries."""
 
 import functools
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class EntryDaemon(Daemon):
-    """One entry."""
+    """Connects the entry's state machine to its servers and feeds."""
 
     role = "entry"
 
@@ -96,12 +96,12 @@
         )
 
     def drain(self) -> None:
-        # Signal handlers must return at once; the core finishes what it has.
+        # Signal handlers must not block; the core finishes the open requests.
         self.loop.post(events.DrainRequested())
         self.exit_after_drain()
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether the entry has documents and is not draining."""
         return bool(self.core.services) and not self.core.draining
 
     def core_status(self) -> dict:
@@ -122,7 +122,7 @@
 
 
 def entry_policy(settings: PolicySettings) -> EntryPolicy:
-    """Return the rules that the settings name."""
+    """Return the scheduling policy that the settings select."""
     queue = QueuePolicy(
         tiers=settings.tiers,
         fair=settings.fair,
--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -1,4 +1,4 @@
-"""The entry's state machine: admit, hold, grant, follow, answer."""
+"""The entry's state machine: admits, queues, grants and answers requests."""
 
 import functools
 from collections.abc import Callable
@@ -30,25 +30,25 @@
 from lavenderspoke.tracked import Phase, TrackedRequest, TrackedRequests
 from lavenderspoke.views import AgentView, AgentViews, PeerViews
 
-# Refusals that say that the key, not the agent, is the trouble.
+# Reasons of refusals caused by the request's key, not by the agent's state.
 KEY_HELD = "key_held"
 KEY_REFUSALS = frozenset({"stale_stamp", KEY_HELD, "claim_lost"})
-# How often the queues are looked at while requests are here.
+# Interval between checks of the queues while any request is tracked.
 CHECK_INTERVAL_S = 0.02
-# How often a request that an agent has, or whose key is being claimed, is looked
-# at, and one whose answer flows. All of them at each check would take most of a
-# core at 16,000 streams.
+# Interval between checks of a request that is granted or claiming its key, and of
+# one whose answer is streaming. Checking all of them each CHECK_INTERVAL_S would use
+# most of a CPU core at 16,000 streams.
 WATCH_INTERVAL_S = 0.25
 WATCH_FLOWING_INTERVAL_S = 1.0
-# What an entry holds where nobody says how many threads its callers have.
+# Default limit of tracked requests; the daemon passes its number of caller threads.
 REQUESTS_MAX = 100_000
-# Heartbeats between two announcements to an agent.
+# Agents get an announcement on every n-th heartbeat, entries on each.
 ANNOUNCE_EVERY = 5
-# An entry that handled nothing for so long beyond its heartbeat was paused, and
-# what is read within the next while may have come during the pause.
+# An entry that handled no event for this long beyond its heartbeat interval was
+# paused. Requests read in the PAUSE_DOUBT_S after that may have arrived meanwhile.
 PAUSE_THRESHOLD_S = 1.0
 PAUSE_DOUBT_S = 10.0
-# Sending again is pointless for these.
+# Problems for which a retry is pointless: they get no retry_after_s.
 FINAL_REASONS = frozenset(
     {
         Reason.QUARANTINED,
@@ -60,7 +60,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryTimes:
-    """The entry's times, in seconds."""
+    """The entry's intervals and timeouts, in seconds."""
 
     heartbeat_s: float = 0.5
     agent_lost_s: float = 3.0
@@ -72,7 +72,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryIdentity:
-    """Who an entry is."""
+    """An entry's instance id, address and data centre."""
 
     me: InstanceId
     address: str
@@ -80,12 +80,12 @@
 
 
 class EntryCore:
-    """The entry holds each waiting request and sees it to its answer.
+    """Queues requests, grants them to agents and passes on their answers.
 
-    `random` spreads callers' returns; `new_id` names reads and rounds;
-    `requests_max` is how many requests it can hold at all. Feed it
-    an event and the time; carry out the actions it returns in order; call it
-    again no later than `next_due_s()`.
+    `random` adds jitter to retry times and picks agents to push to; `new_id` names
+    roster reads and pushed grants; `requests_max` limits the tracked requests. Call
+    `handle` with an event and the time, perform the returned actions in order, and
+    call it again no later than `next_due_s()`.
     """
 
     def __init__(
@@ -134,10 +134,10 @@
         self._heartbeats = 0
         self._heartbeat_due_s = now_s
 
-    # Driving
+    # Event loop
 
     def handle(self, event: object, now_s: float) -> list:
-        """Take one event; return what is to be done, in order."""
+        """Handle one event; return the actions to perform, in order."""
         self._notice_pause(now_s)
         actions = self._settle(self._on(event, now_s), now_s)
         actions += self._settle(self._timers(now_s), now_s)
@@ -151,13 +151,13 @@
         self._handled_s = now_s
 
     def next_due_s(self) -> float:
-        """Return when a tick is due at the latest."""
+        """Return the latest time for the next tick."""
         if len(self.requests):
             return min(self._check_due_s, self._heartbeat_due_s)
         return self._heartbeat_due_s
 
     def _settle(self, actions: list, now_s: float) -> list:
-        """Carry out the core's own actions until only the daemon's are left."""
+        """Apply the core's internal actions; return those for the daemon."""
         done = []
         pending = list(actions)
         while pending:
@@ -202,7 +202,7 @@
         return self.grant_follower.check(tracked, now_s)
 
     def _watch(self, tracked: TrackedRequest, now_s: float) -> None:
-        """Look at a request again soon, and at its deadline."""
+        """Schedule the next check of a request, no later than its deadline."""
         is_flowing = tracked.phase is Phase.RUNNING and not tracked.reassembly.has_gap
         watch_s = WATCH_FLOWING_INTERVAL_S if is_flowing else WATCH_INTERVAL_S
         until_deadline_s = max(CHECK_INTERVAL_S, tracked.deadline_s - now_s)
@@ -248,8 +248,8 @@
         for peer in self.peers.remove_silent(now_s):
             for state in self.services.values():
                 state.floors.on_peer_lost(peer.name)
-        # Demand says as well that this entry lives, so agents need the longer
-        # announcement less often.
+        # Demand messages also show that this entry is alive, so agents need the
+        # longer announcement less often.
         self._heartbeats += 1
         to_agents = self._heartbeats % ANNOUNCE_EVERY == 0
         actions += self._announce(self._everyone() if to_agents else self._entries())
@@ -282,7 +282,7 @@
 
     @functools.singledispatchmethod
     def _on(self, event: object, now_s: float) -> list:
-        raise TypeError(f"no such event: {event!r}")
+        raise TypeError(f"unknown event {event!r}")
 
     @_on.register
     def _(self, event: Tick, now_s: float) -> list:
@@ -342,9 +342,9 @@
         return actions
 
     def _reading(self, read_ids: tuple[str, ...]) -> list[TrackedRequest]:
-        # A read may end after its round gave up. The request may then wait or be
-        # granted: taken for one that still claims, it would be put into the queue
-        # again, and a second agent would run it.
+        # A read may end after its round has timed out, when the request may be
+        # waiting or granted. Treated as still claiming, it would be queued again,
+        # and a second agent would run it.
         return [
             tracked
             for tracked in self.requests
@@ -368,9 +368,10 @@
                 events.Reply(request_id=arrival.call.request_id, part=problem),
             ]
         if now_s < self._doubt_until_s and arrival.call.key is not None:
-            # It may have lain unread while this entry was paused. Stamped as of
-            # now it could reach an agent that its re-send, long answered
-            # elsewhere, had no cause to ask: a second run. Claims find that out.
+            # It may have been unread while this entry was paused, and its re-send
+            # answered elsewhere. With the current stamp it could reach an agent
+            # which that re-send didn't have to ask, and run a second time. A round
+            # of claims detects that.
             arrival = attrs.evolve(arrival, sending=Sending.RESEND)
         tracked = TrackedRequest(
             arrival=arrival,
@@ -457,21 +458,21 @@
         ]
 
     def _put_back(self, put_back: events.DidNotRun, now_s: float) -> list:
-        """Take a request back that provably did not run."""
+        """Requeue, re-claim or drop a request that provably did not run."""
         tracked = self.requests.get(put_back.request_id)
         if tracked is None:
             return []
         self.requests.release(tracked)
         counted = Count(name="retries", reason=put_back.reason)
         state = self.services[tracked.call.service]
-        # Put back below a floor, it would be kept while a higher tier is shed; so
-        # would one that goes back to claiming, which waits again after its round.
+        # Requeued below a floor, it would be kept while a higher tier is shed. So
+        # would one that claims its key again, since it waits after its round.
         is_below = state.is_below_floor(tracked.call.tier, now_s)
         if put_back.reason == KEY_HELD:
             tracked.is_contested = True
         if put_back.reason in KEY_REFUSALS:
             if is_below:
-                # Another attempt of its key may run.
+                # Another attempt with this key may run.
                 problem = Problem(reason=Reason.SHED, ran=Ran.UNKNOWN)
                 return [
                     counted,
@@ -540,7 +541,7 @@
     def _(self, message: messages.Pull, sender, now_s) -> list:
         state = self.services.get(message.service)
         view = self.agents.get(sender)
-        # The platform may say that an upstream leaves before its agent knows.
+        # The platform may list an upstream as leaving before its agent knows.
         if state is None or view is None or not view.accepts_work:
             return []
         grants, done = state.answer_pull(message, view, now_s)
--- a/lavenderspoke/entryevents.py
+++ b/lavenderspoke/entryevents.py
@@ -1,4 +1,4 @@
-"""What the entry's state machine is told, and what it asks to be done."""
+"""The events and actions of the entry's state machine."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class Arrived:
-    """A checked request has come from a caller."""
+    """A validated request has arrived from a caller."""
 
     arrival: Arrival
 
@@ -33,7 +33,7 @@
 class RosterReached:
     """The roster was read to its end, which was at `offset`.
 
-    `read_ids` names the fresh reads that this one answers.
+    `read_ids` names the requested reads that this one completes.
     """
 
     offset: int
@@ -42,14 +42,14 @@
 
 @attrs.frozen(kw_only=True)
 class RosterReadFailed:
-    """The roster can't be read now."""
+    """The roster could not be read for the requested reads."""
 
     read_ids: tuple[str, ...]
 
 
 @attrs.frozen(kw_only=True)
 class PeersListed:
-    """The platform's list names these other entries and leaving agents."""
+    """The other entries and the leaving agents in the platform's member list."""
 
     entry_names: tuple[str, ...]
     leaving_agents: frozenset[str] = frozenset()
@@ -57,12 +57,12 @@
 
 @attrs.frozen(kw_only=True)
 class DrainRequested:
-    """Take nothing new, finish what there is, then exit."""
+    """Refuse new requests, finish those in flight, then exit."""
 
 
 @attrs.frozen(kw_only=True)
 class Reply:
-    """Give a caller the next part of its answer."""
+    """Send a caller the next part of its answer."""
 
     request_id: str
     part: AnswerPart
@@ -70,14 +70,14 @@
 
 @attrs.frozen(kw_only=True)
 class ReadRoster:
-    """Read the roster to its end, beginning after now."""
+    """Start a new read of the roster to its end."""
 
     read_id: str
 
 
 @attrs.frozen(kw_only=True)
 class DidNotRun:
-    """A granted request provably did not run; within the core only."""
+    """A granted request provably did not run; internal to the core."""
 
     request_id: str
     reason: str
@@ -85,14 +85,14 @@
 
 @attrs.frozen(kw_only=True)
 class Answered:
-    """An upstream answered a request whole; within the core only."""
+    """An upstream answered a request completely; internal to the core."""
 
     call: Call
 
 
 @attrs.frozen(kw_only=True)
 class Finish:
-    """A request gets its final answer; within the core only."""
+    """A request ends with a problem; internal to the core."""
 
     request_id: str
     problem: Problem
--- a/lavenderspoke/entrygateway.py
+++ b/lavenderspoke/entrygateway.py
@@ -1,4 +1,4 @@
-"""The gateway between the callers' server and an entry's core."""
+"""Passes requests from the callers' server to an entry's core, and answers back."""
 
 import threading
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class EntryGateway:
-    """The answers that callers wait for, by request id."""
+    """Holds the open answers by request id; thread-safe."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._answers: dict[str, AnswerQueue] = {}
 
     def submit(self, arrival: Arrival) -> AnswerQueue:
-        """Give a request to the core."""
+        """Post a request to the core; return the queue of its answer."""
         request_id = arrival.call.request_id
         answer = AnswerQueue(request_id=request_id, on_abandon=self._abandon)
         with self._lock:
@@ -48,7 +48,7 @@
         self._post(CallerGone(request_id=request_id))
 
     def reply(self, request_id: str, part: AnswerPart) -> None:
-        """Pass a part on to the thread that waits for it."""
+        """Put a part into its answer's queue; ignored for a closed answer."""
         is_last = isinstance(part, LAST_PARTS)
         with self._lock:
             if is_last:
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -1,10 +1,9 @@
-"""A request from its grant to its answer, and every silence in between.
+"""Follows a request from its grant to the end of its answer.
 
-Once granted, a request is not the entry's to dispatch again until its agent has
-said that it never ran. Silence is asked about; an agent that has died is
-replaced by its successor, which asks the upstream for the run by its id; and
-where no one can say, the caller is told that the outcome is unknown. A second
-run is never the answer to a doubt.
+A granted request may be granted again only after its agent has reported that it
+never ran. If the agent is silent, the entry queries it. If the agent has died, its
+successor asks the upstream for the run by its id. If nobody can tell, the caller
+gets "outcome unknown": an uncertain run is never repeated.
 """
 
 import functools
@@ -21,16 +20,16 @@
 from lavenderspoke.reassembly import is_complete
 from lavenderspoke.tracked import Phase, TrackedRequest, TrackedRequests
 
-# "Never", said of a revoke or by a refusal, is trusted for this long after the
-# grant; the ledger remembers what ran for twice as long (`ledger.RUN_MEMORY_S`),
-# so that an entry which was paused can't take a forgotten run for one that never
-# was. A late copy of a grant is refused too once its run is forgotten.
+# A refusal, or "never" in reply to a revoke, is trusted for this long after the
+# grant. The ledger remembers runs for twice as long (`ledger.RUN_MEMORY_S`), so an
+# entry that was paused can't mistake a forgotten run for one that never happened:
+# once its run is forgotten, a late copy of a grant is refused too.
 NEVER_RAN_TRUST_S = 60.0
 
 
 @attrs.frozen(kw_only=True)
 class GrantTimeouts:
-    """When silence is asked about and when it is final, in seconds."""
+    """When a silent agent is queried and when it is given up, in seconds."""
 
     grant_timeout_s: float = 0.25
     attach_after_s: float = 1.0
@@ -40,19 +39,19 @@
 
 @attrs.define(kw_only=True)
 class GrantFollower:
-    """The part of an entry that follows what it has granted."""
+    """Tracks granted requests until their answers end or they did not run."""
 
     requests: TrackedRequests
     times: GrantTimeouts
 
     @functools.singledispatchmethod
     def receive(self, message: object, sender: InstanceId, now_s: float) -> list:
-        """Take a message from an agent about something it was granted."""
-        raise TypeError(f"not about a grant: {message!r}")
+        """Handle an agent's message about granted requests."""
+        raise TypeError(f"message {message!r} does not concern a grant")
 
     def _granted_on(self, message, sender: InstanceId) -> TrackedRequest | None:
-        # Any answer may come late or twice, when the request has long been
-        # granted elsewhere. Only the one for the grant in force counts.
+        # A reply may be late or duplicated, after the request was granted
+        # elsewhere. Only a reply to the current grant counts.
         tracked = self.requests.get(message.request_id)
         if tracked is None or tracked.agent != sender:
             return None
@@ -161,7 +160,7 @@
     # Silence
 
     def check(self, tracked: TrackedRequest, now_s: float) -> list:
-        """Ask after a silent request, or give it up when its time is over."""
+        """Query the agent of a silent request, or fail it after its deadline."""
         if not tracked.is_with_agent:
             return []
         if self._is_over(tracked, now_s):
@@ -186,8 +185,8 @@
     def _is_over(self, tracked: TrackedRequest, now_s: float) -> bool:
         if now_s < tracked.deadline_s:
             return False
-        # An answer that has begun is given whole, however late, as long as its
-        # agent is heard of; one that hasn't is of no more use to its caller.
+        # An answer that has begun is delivered to its end, however late, while
+        # its agent is not silent; one that hasn't is of no more use to its caller.
         silent_s = now_s - tracked.last_heard_s
         return not tracked.head_sent or silent_s >= self.times.silence_timeout_s
 
@@ -213,16 +212,16 @@
     def attach(
         self, tracked: TrackedRequest, agent: InstanceId, run_id: str, now_s: float
     ) -> list:
-        """Follow the run of another attempt from its first piece."""
+        """Follow another attempt's run at `agent` from its first piece."""
         self.requests.attach(tracked, agent, run_id, now_s)
         return [Send(recipient=agent, message=self._attach(tracked))]
 
     def on_successor(self, new: InstanceId, can_resume: bool, now_s: float) -> list:
-        """An agent has a successor: what it had runs on at most upstream.
+        """Resume the requests of an agent that was replaced, or fail them.
 
-        The old process is gone, since the new one holds its address. Whether
-        it had dispatched a request can't be known here, so it is never granted
-        again; the upstream is asked for the run.
+        The old process is gone, since the new one holds its address. Whether it
+        had dispatched a request is unknown here, so the request is never granted
+        again. If the upstream can resume, the successor asks it for the run.
         """
         actions = []
         for tracked in self.requests:
@@ -240,7 +239,7 @@
 
 
 def observe(name: str, tracked: TrackedRequest, now_s: float) -> Observe:
-    """Return the time since a request arrived, as a measurement."""
+    """Return an `Observe` of the seconds since the request arrived."""
     return Observe(
         name=name,
         service=tracked.call.service,
--- a/lavenderspoke/gateway.py
+++ b/lavenderspoke/gateway.py
@@ -1,4 +1,4 @@
-"""What lies between the callers' HTTP server and the entry's state machine."""
+"""The interface between the callers' HTTP server and the entry's state machine."""
 
 import enum
 from typing import Protocol
@@ -11,9 +11,9 @@
 
 
 class Sending(enum.Enum):
-    """Whether the caller says that it sends this key for the first time.
+    """Whether the caller sends this key for the first time.
 
-    A keyed request that doesn't say is taken as a re-send: the safe reading.
+    A keyed request that doesn't state it is treated as a re-send, to be safe.
     """
 
     FIRST = "first"
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """A checked request, ready to be admitted."""
+    """A validated request, ready for admission."""
 
     call: Call
     sending: Sending = Sending.FIRST
@@ -38,15 +38,15 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerEnd:
-    """The whole answer has been given."""
+    """The end of a complete answer."""
 
 
 @attrs.frozen(kw_only=True)
 class AnswerBroken:
-    """An answer that has begun can't be completed; it must end visibly.
+    """An answer that has begun can't be completed; the caller must notice.
 
-    The server closes the connection without the last chunk, and before that
-    gives an error event where the body is an event stream.
+    The server sends an error event if the body is an event stream, then closes the
+    connection without the last chunk.
     """
 
     problem: Problem
@@ -56,50 +56,50 @@
 
 
 class BodyWriter(Protocol):
-    """Writes an answer's bodies to its caller, framed as they must be."""
+    """Writes an answer's bodies to its caller with the required framing."""
 
     def write_now(self, body: bytes) -> bytes:
-        """Write without waiting; return the framed bytes that are left."""
+        """Write without blocking; return the framed bytes not yet written."""
 
     def write(self, framed: bytes) -> None:
-        """Write what was left; waits for the caller, and raises OSError."""
+        """Write framed bytes; blocks on the caller and may raise OSError."""
 
 
 class Answer(Protocol):
-    """The parts of one answer, as they come.
+    """The parts of one answer, in order.
 
     The first part is a Head or a Problem. A Head is followed by bodies and
     then exactly one AnswerEnd or AnswerBroken; a Problem stands alone.
-    `lavenderspoke.answers.AnswerQueue` is one that a state machine's shell can
-    fill from another thread.
+    `lavenderspoke.answers.AnswerQueue` is an implementation that another thread
+    can fill.
     """
 
     request_id: str
 
     def take(self) -> list[AnswerPart]:
-        """Return what has gathered; blocks until there is something.
+        """Return the parts received so far; blocks until there is one.
 
         Empty only when the answer was abandoned.
         """
 
     def write_through(self, writer: BodyWriter) -> None:
-        """Offer a writer for the bodies after those that were taken."""
+        """Set a writer for the bodies after those returned by `take`."""
 
     def abandon(self) -> None:
-        """Say that the caller has gone; may be called at any time, also twice."""
+        """Report that the caller has gone; idempotent, allowed at any time."""
 
 
 class Gateway(Protocol):
-    """The entry's side that the callers' server speaks to, from many threads."""
+    """The entry as seen by the callers' server, which uses many threads."""
 
     def service(self, name: str) -> Service | None:
-        """Return the document in force for a service, if there is one."""
+        """Return the current document of a service, or None."""
 
     def ready(self) -> bool:
         """Return whether the entry has documents and is not draining."""
 
     def submit(self, arrival: Arrival) -> Answer:
-        """Admit a request; refusals come as the answer's only part."""
+        """Submit a request; a refusal is the only part of its answer."""
 
     def status(self) -> dict:
         """Return the entry's report for the status page, as plain JSON data."""
--- a/lavenderspoke/keyclaims.py
+++ b/lavenderspoke/keyclaims.py
@@ -1,4 +1,4 @@
-"""An entry's rounds of claims, and what follows from how they end."""
+"""Runs rounds of claims for an entry's requests and applies their results."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,17 @@
 from lavenderspoke.resend import ClaimOutcome, ClaimResult, ClaimRound
 from lavenderspoke.tracked import Phase, TrackedRequest
 
-# A first send whose round could not be finished waits on after this long; at
-# once, the agent that refused it would take and refuse it without end.
+# Delay before a first send whose round could not be finished may be queued again.
+# Without it, the agent that refused it would pull and refuse it in a loop.
 REQUEUE_DELAY_S = 0.5
 
 
 @attrs.frozen(kw_only=True)
 class ClaimStep:
-    """What a look at a round led to.
+    """The result of one check of a round.
 
-    `found` names a run to attach to; `may_wait` says that all claims are held.
+    `found` names a run to attach to. `may_wait` means that the request may enter
+    the queue: all claims are held, or its requeue delay has passed.
     """
 
     actions: list = attrs.field(factory=list)
@@ -33,14 +34,14 @@
 
 @attrs.define(kw_only=True)
 class KeyClaims:
-    """The claims of one entry's requests; `claim_s` bounds a round."""
+    """The claims of one entry's requests; `claim_timeout_s` bounds a round."""
 
     roster: Roster
     claim_timeout_s: float
     new_id: Callable[[], str]
 
     def begin(self, tracked: TrackedRequest, service: Service, now_s: float) -> list:
-        """Begin a round: the roster must be read after this moment."""
+        """Begin a round and request a roster read that starts after this call."""
         tracked.phase = Phase.CLAIMING
         tracked.claimed = False
         tracked.requeue_at_s = None
@@ -58,7 +59,7 @@
     def roster_read(
         self, tracked: TrackedRequest, service: Service, now_s: float
     ) -> list:
-        """The roster was read to its end: ask every agent that it names."""
+        """Ask every possible key holder, once the roster was read to its end."""
         lives = self.roster.possible_key_holders(
             service.name, now_s=now_s, key_lifetime_s=service.keys.lifetime_s
         )
@@ -67,7 +68,7 @@
     def check(
         self, tracked: TrackedRequest, service: Service, now_s: float
     ) -> ClaimStep:
-        """Look at a request's round and go on as far as it allows."""
+        """Advance a request's round: re-send claims, or apply its outcome."""
         if tracked.requeue_at_s is not None:
             return ClaimStep(may_wait=now_s >= tracked.requeue_at_s)
         outcome = tracked.claim_round.outcome(now_s)
@@ -87,9 +88,9 @@
         if outcome.result is ClaimResult.RAN:
             return ClaimStep(actions=[counted, *returned], found=outcome)
         if outcome.result is ClaimResult.UNKNOWN and is_first(tracked):
-            # It was granted to no one, so it may go on waiting for an agent that
-            # accepts it as it came. With the later stamp it could reach one that
-            # a re-send didn't have to ask: a second run.
+            # It holds no grant, so it may wait for an agent that accepts its
+            # original stamp. With the later stamp it could reach an agent that a
+            # re-send didn't have to ask, and run a second time.
             tracked.stamp = tracked.first_stamp
             tracked.requeue_at_s = now_s + REQUEUE_DELAY_S
             return ClaimStep(actions=[counted, *returned])
@@ -100,12 +101,12 @@
             reason = Reason.OUTCOME_UNKNOWN
         else:
             reason = Reason.SUPERSEDED if is_first(tracked) else Reason.IN_PROGRESS
-        # Another attempt of this key may run yet, so "not run" would mislead.
+        # Another attempt of this key may still run, so "not run" would mislead.
         problem = Problem(reason=reason, ran=Ran.UNKNOWN)
         return Finish(request_id=tracked.request_id, problem=problem)
 
     def release(self, tracked: TrackedRequest) -> list:
-        """Free the claims of a request that will never be granted."""
+        """Release the claims of a request that will never be granted."""
         return [] if tracked.claim_round is None else tracked.claim_round.release()
 
 
--- a/lavenderspoke/membership/__init__.py
+++ b/lavenderspoke/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which daemons there are: the platform's list, the roster, and who talks to whom."""
+"""Membership: the platform's member list, the roster and the choice of entries."""
--- a/lavenderspoke/membership/memberlist.py
+++ b/lavenderspoke/membership/memberlist.py
@@ -21,12 +21,11 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """An instance that the platform believes to be there.
+    """An instance in the platform's list.
 
     The address is `host:port` of its daemon's listening socket, and
-    `status_address` that of its status page, empty where the platform doesn't
-    know it. The service and the upstream are those of an agent, and empty for an
-    entry.
+    `status_address` that of its status page, empty if the platform doesn't
+    know it. `service` and `upstream` are those of an agent, and empty for an entry.
     """
 
     name: str
@@ -48,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class MemberListCorrupt:
-    """What was read isn't a member list."""
+    """The response is not a valid member list."""
 
     detail: str
 
@@ -57,10 +56,10 @@
 
 
 class MemberList(Protocol):
-    """The list is a hint: it lags, and may be wrong in both directions."""
+    """A list that lags: it may miss live members and name dead ones."""
 
     def read(self) -> Result[tuple[Member, ...], MemberListError]:
-        """Return the members as the platform last knew them."""
+        """Return the members last known to the platform."""
 
 
 @attrs.frozen(kw_only=True)
--- a/lavenderspoke/membership/roster.py
+++ b/lavenderspoke/membership/roster.py
@@ -1,9 +1,9 @@
-"""The roster: which agent incarnations could ever have run a keyed request.
+"""The roster: the agent incarnations that may have run a keyed request.
 
 An agent appends a join record to the log's `roster` stream before it accepts
-keyed work, renews it while it lives, and appends a leave record when it has
-handed its keys over. Entries fold the stream. A request is stamped with the
-offset folded when it arrived, and an agent refuses a stamp below its own join
+keyed work, renews it while it runs, and appends a leave record once it has handed
+its keys over. Entries apply the stream in order. A request is stamped on arrival
+with the last offset applied, and an agent refuses a stamp below its own join
 offset, so the incarnations that could run an attempt are fixed on arrival.
 """
 
@@ -21,7 +21,7 @@
 class Join:
     """An incarnation joins, or renews its join.
 
-    `join_offset` is None in the first record, whose own offset it becomes.
+    None as `join_offset` marks the first record: its own offset is the join offset.
     """
 
     agent: InstanceId
@@ -34,9 +34,9 @@
 
 @attrs.frozen(kw_only=True)
 class Leave:
-    """An incarnation has left cleanly and accepts nothing any more.
+    """An incarnation has left cleanly and accepts no more work.
 
-    `heir` holds its keys and answers for it; None says that it held no key.
+    `heir` holds its keys and answers for them; None if it held no key.
     """
 
     agent: InstanceId
@@ -45,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class RosterError:
-    """A roster record can't be read."""
+    """A roster record can't be decoded."""
 
     detail: str
 
@@ -62,19 +62,19 @@
 
 
 def decode(payload: bytes) -> Result[RosterRecord, RosterError]:
-    """Read a record back; bytes from outside never raise."""
+    """Decode a record; malformed bytes give an Err and never raise."""
     try:
         return Ok(_converter.loads(payload, RosterRecord))
-    # cattrs and msgpack raise many types on bad bytes, all of them Exceptions.
+    # cattrs and msgpack raise many types of Exception on malformed bytes.
     except Exception as error:
         return Err(RosterError(detail=f"{type(error).__name__}: {error}"))
 
 
 @attrs.define(kw_only=True)
 class AgentIncarnation:
-    """What the roster says of one incarnation of an agent.
+    """The roster's state of one incarnation of an agent.
 
-    `heard_s` is when this reader folded the last record about it, on the
+    `last_heard_s` is when this reader applied the last record about it, on the
     reader's own clock.
     """
 
@@ -91,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class Roster:
-    """The roster folds join and leave records in offset order.
+    """The state built from join and leave records in offset order.
 
     `lease_s` is how long an agent accepts keyed work after its last renewal.
     """
@@ -102,7 +102,7 @@
     _lives: dict[InstanceId, AgentIncarnation] = attrs.field(factory=dict)
 
     def apply(self, *, offset: int, payload: bytes, now_s: float) -> None:
-        """Fold one record; an unreadable one is skipped and counted."""
+        """Apply one record; an undecodable one is skipped and counted."""
         if offset <= self.offset:
             return
         self.offset = offset
@@ -115,7 +115,7 @@
             self._leave(decoded.ok_value, now_s)
 
     def advance_to(self, offset: int) -> None:
-        """Note that everything up to `offset` has been read."""
+        """Record that everything up to `offset` has been read."""
         self.offset = max(self.offset, offset)
 
     def _join(self, join: Join, offset: int, now_s: float) -> None:
@@ -135,7 +135,7 @@
         self._mark_succeeded(join.agent.name)
 
     def _mark_succeeded(self, name: str) -> None:
-        # Renewals may come in any order: the last to join is the one that lives.
+        # Renewals may come in any order: the highest join offset is current.
         lives = [life for life in self._lives.values() if life.agent.name == name]
         newest = max(life.join_offset for life in lives)
         for life in lives:
@@ -149,7 +149,7 @@
             life.last_heard_s = now_s
 
     def get(self, agent: InstanceId) -> AgentIncarnation | None:
-        """Return what is known of an incarnation."""
+        """Return the state of an incarnation, or None if it is unknown."""
         return self._lives.get(agent)
 
     def possible_key_holders(
@@ -157,10 +157,10 @@
     ) -> list[AgentIncarnation]:
         """Return the incarnations that may hold a live key of the service.
 
-        One that has not been heard of for its lease and a key's lifetime holds
-        none: it refused keyed work from the end of its lease on, and what it
-        ran before has passed the lifetime. Both are counted from when this
-        reader heard of it, which is later, so the error is on the safe side.
+        One without a record for its lease plus a key's lifetime holds none and
+        is removed: it refused keyed work from the end of its lease, and the keys
+        that it ran before have expired. Both times count from when this reader
+        applied the record, which is later, so the error is on the safe side.
         """
         horizon_s = now_s - self.lease_s - key_lifetime_s
         expired = [
@@ -171,7 +171,7 @@
         return [life for life in self._lives.values() if life.service == service]
 
     def alive(self, service: str) -> list[AgentIncarnation]:
-        """Return the incarnations that have neither left nor been succeeded."""
+        """Return the incarnations that have neither left nor been superseded."""
         return [
             life
             for life in self._lives.values()
--- a/lavenderspoke/membership/subset.py
+++ b/lavenderspoke/membership/subset.py
@@ -1,9 +1,9 @@
-"""Which of many entries an agent announces itself to.
+"""Selects the entries that an agent announces itself to.
 
-At the size aimed at no daemon may speak to all others. Each agent picks a fixed
-number of entries by rendezvous hashing: every agent ranks the entries by a hash
-of both names and takes the highest. So picks spread evenly, need no
-coordination, and change only where an entry comes or goes.
+A large fleet has too many daemons for each to talk to all others. Each agent picks a
+fixed number of entries by rendezvous hashing: it ranks the entries by a hash of both
+names and takes the first. Picks spread evenly, need no coordination, and change only
+where an entry is added or removed.
 """
 
 import hashlib
@@ -16,9 +16,9 @@
 ) -> tuple[str, ...]:
     """Return the names of at most `count` entries, nearest first.
 
-    Entries of the agent's own data centre go first; half of the places are kept
-    for others where there are any, so that losing a data centre's entries
-    leaves its upstreams reachable.
+    Entries of the agent's own data centre go first. Half of the places, rounded
+    down, are reserved for other data centres as far as these have entries, so that
+    upstreams stay reachable when all entries of their data centre fail.
     """
     ranked = sorted(entries, key=lambda entry: rendezvous_hash(own_name, entry.name))
     near = [entry for entry in ranked if entry.data_centre == own_data_centre]
@@ -29,5 +29,5 @@
 
 
 def rendezvous_hash(agent_name: str, entry_name: str) -> bytes:
-    """Return what an agent ranks an entry by; the same on every machine."""
+    """Return the hash an agent ranks an entry by; same on all machines."""
     return hashlib.sha256(f"{agent_name}\0{entry_name}".encode()).digest()
--- a/lavenderspoke/reports.py
+++ b/lavenderspoke/reports.py
@@ -1,4 +1,4 @@
-"""What the status pages say of the state machines, as plain JSON data."""
+"""The status reports of the state machines, as plain JSON data."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 
 
 def entry_report(core: EntryCore) -> dict:
-    """Return what an entry holds; call it on the core's own thread."""
+    """Return an entry's report; call it on the core's own thread."""
     waiting = {name: {} for name in core.services}
     running = {name: {} for name in core.services}
     for name, state in core.services.items():
@@ -26,7 +26,7 @@
 
 
 def by_tier_name(service: Service, counts: dict[int, int]) -> dict[str, int]:
-    """Return counts by the names of tiers; every tier of the service is there."""
+    """Return counts by tier name, with 0 for tiers without requests."""
     return {tier.name: counts.get(tier.rank, 0) for tier in service.tiers}
 
 
@@ -63,7 +63,7 @@
 
 
 def agent_report(core: AgentCore) -> dict:
-    """Return what an agent holds; call it on the core's own thread."""
+    """Return an agent's report; call it on the core's own thread."""
     identity = core.identity
     running = Counter(run.call.tier for run in core.ledger.running())
     return {
--- a/lavenderspoke/resend.py
+++ b/lavenderspoke/resend.py
@@ -1,11 +1,10 @@
-"""Whether a key sent again may run: the round of claims.
-
-The entry reads the roster to its present end after the request came. Every
-incarnation that an earlier attempt could have reached had joined by then, so
-the roster names it. Each is asked to claim the key for this attempt. Only when
-all of them have does the attempt wait for a grant; an agent that ran the key,
-or has claimed it for another attempt, says so; one that can't answer makes the
-outcome unknown.
+"""Decides by a round of claims whether a re-sent key may run.
+
+After the request has arrived, the entry reads the roster to its current end. Every
+incarnation that an earlier attempt could have reached had joined by then, so the
+roster names it. Each is asked to claim the key for this attempt, which is queued
+only when all have done so. An agent that ran the key, or has claimed it for another
+attempt, reports that; one that can't answer makes the outcome unknown.
 """
 
 import enum
@@ -21,17 +20,17 @@
 
 
 class ClaimResult(enum.Enum):
-    """How a round ended."""
+    """The result of a round."""
 
     ALL_HELD = "all_held"  # no attempt has run; this one may be granted
     RAN = "ran"  # an agent ran the key: attach to its answer
     TAKEN = "taken"  # another attempt has claimed the key
-    UNKNOWN = "unknown"  # someone who may have run it can't answer
+    UNKNOWN = "unknown"  # an agent that may have run it can't answer
 
 
 @attrs.frozen(kw_only=True)
 class ClaimOutcome:
-    """The end of a round; `agent` and `holder` name the run that was found."""
+    """The end of a round; for RAN, `agent` and `holder` name the run."""
 
     result: ClaimResult
     agent: InstanceId | None = None
@@ -42,8 +41,8 @@
 class ClaimRound:
     """One round of claims for one attempt.
 
-    `lifetime_s` is how long the claims are to last at the agents, and
-    `until_s` when the round gives up on those that haven't answered.
+    `lifetime_s` is how long agents keep the claims. At `deadline_s`, on the entry's
+    clock, the round stops waiting for agents that haven't answered.
     """
 
     request_id: str
@@ -61,7 +60,7 @@
     def roster_read(
         self, lives: list[AgentIncarnation], offset: int, now_s: float
     ) -> list[Send]:
-        """Ask every incarnation that the roster, read to `offset`, names."""
+        """Send claims for the incarnations in the roster as read to `offset`."""
         self.stamp = offset
         self.asked = set()
         known = {life.agent: life for life in lives}
@@ -74,11 +73,11 @@
         return self.ask(now_s)
 
     def roster_failed(self) -> None:
-        """The roster can't be read: someone unknown may have run the key."""
+        """Record that the roster can't be read: any agent may have run the key."""
         self._unreachable = True
 
     def ask(self, now_s: float) -> list[Send]:
-        """Ask again those that haven't answered, when it is time."""
+        """Return claims for agents that haven't answered, if a retry is due."""
         if self.asked is None or now_s < self._ask_s:
             return []
         self._ask_s = now_s + CLAIM_RETRY_S
@@ -95,16 +94,16 @@
         ]
 
     def record_answer(self, sender: InstanceId, claimed: Claimed) -> None:
-        """Take an agent's answer."""
+        """Record an agent's answer to the current round."""
         current = claimed.round == self.number
         if current and self.asked is not None and sender in self.asked:
             self._answers[sender] = claimed
 
     def outcome(self, now_s: float) -> ClaimOutcome | None:
-        """Return how the round ended, or None while it goes on.
+        """Return the outcome of the round, or None while it is open.
 
-        A run that was found goes before everything: its answer is the answer,
-        whatever else can't be asked.
+        A run that was found takes precedence, even if other agents can't be asked:
+        its answer is the answer to this attempt.
         """
         others = {
             agent: claimed
@@ -128,22 +127,22 @@
         return None
 
     def release(self) -> list[Send]:
-        """Return the messages that free what this round claimed."""
+        """Return the messages that release this round's claims."""
         unclaim = Unclaim(key=self.key, request_id=self.request_id, round=self.number)
         return [Send(recipient=agent, message=unclaim) for agent in self.asked or ()]
 
 
-# What `answering` returns for an incarnation that left and held no key.
+# Returned by `find_answerer` for an incarnation that left without holding any key.
 NO_ANSWERER = InstanceId(name="", incarnation="")
 
 
 def find_answerer(
     life: AgentIncarnation, known: dict[InstanceId, AgentIncarnation]
 ) -> InstanceId | None:
-    """Return who answers for an incarnation's keys; None when nobody can.
+    """Return the agent that answers for an incarnation's keys, None if there is none.
 
-    One that left cleanly named its heir, who has its keys. One that was
-    succeeded without leaving took its keys with it.
+    An incarnation that left cleanly handed its keys to the heir it named. The keys
+    of one that was superseded without leaving are lost.
     """
     seen = set()
     while life.left:
--- a/lavenderspoke/rosterfeed.py
+++ b/lavenderspoke/rosterfeed.py
@@ -1,4 +1,4 @@
-"""Reads the roster stream for an entry, and answers its fresh reads."""
+"""Reads the roster stream for an entry and serves the reads it requests."""
 
 import threading
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class RosterFeed:
-    """The roster feed reads on from where it was, and to the end when asked."""
+    """Reads the stream from its last offset to its end at each poll."""
 
     def __init__(self, *, log: Log, post: Callable[[object], None]):
         self._log = log
@@ -21,14 +21,14 @@
         self.corrupt_offsets: set[int] = set()
 
     def request_read(self, read_id: str) -> None:
-        """Ask for a read that begins after now."""
+        """Request a read that begins after this call."""
         with self._lock:
             self._wanted.append(read_id)
 
     def poll(self) -> None:
-        """Read the stream to its present end."""
-        # Taken before the read begins: one asked for during it must see an end
-        # that is later than its request, so it waits for the next read.
+        """Read the stream to its current end and post the result."""
+        # Taken before the read begins: a request made during it needs an end of the
+        # stream that is later than the request, so it waits for the next read.
         with self._lock:
             read_ids, self._wanted = tuple(self._wanted), []
         if self._read():
@@ -38,10 +38,10 @@
             self._post(RosterReadFailed(read_ids=read_ids))
 
     def _newly_corrupt(self, offsets: tuple[int, ...]) -> bool:
-        # A record that only this reader got corrupt may be a join, without
-        # which it would not ask that agent: it is read again. One that is
-        # corrupt for all is no join that counts, since an agent reads its own
-        # back before it accepts keyed work.
+        # A record that only this read got corrupt may be a join, and without it
+        # that agent would not be asked: it is read again. One that is corrupt for
+        # every reader is not a valid join, since an agent reads its own join back
+        # before it accepts keyed work.
         new = set(offsets) - self.corrupt_offsets
         self.corrupt_offsets |= new
         return bool(new)
--- a/lavenderspoke/servicemessages.py
+++ b/lavenderspoke/servicemessages.py
@@ -1,4 +1,4 @@
-"""What other daemons tell an entry about one of its services."""
+"""Handles other daemons' messages about an entry's services."""
 
 import functools
 
@@ -14,7 +14,7 @@
 
 @attrs.define(kw_only=True)
 class ServiceMessages:
-    """Takes the messages about crashes, prefixes and floors."""
+    """Handles the messages about crashes, prefixes and floors."""
 
     services: dict[str, ServiceState]
     agents: AgentViews
@@ -23,8 +23,8 @@
 
     @functools.singledispatchmethod
     def receive(self, message: object, sender: InstanceId, now_s: float) -> list:
-        """Take a message about a service; one that isn't known is ignored."""
-        raise TypeError(f"not about a service: {message!r}")
+        """Handle a message; one about an unknown service is ignored."""
+        raise TypeError(f"message {message!r} does not concern a service")
 
     @receive.register
     def _(self, message: messages.PrefixHeld, sender, now_s) -> list:
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -1,4 +1,4 @@
-"""All that an entry holds for one service: queue, limits, floors, demand."""
+"""An entry's state of one service: queue, admission, floors, demand."""
 
 from random import Random
 
@@ -17,10 +17,10 @@
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import WaitingQueue, WaitingRequest, cost_tokens
 
-# Upstreams times prefixes that an entry remembers for a service.
+# Limit of (upstream, prefix) pairs that an entry remembers for a service.
 PREFIX_INDEX_ENTRIES_MAX = 50_000
-# While a floor is being asked for, this many times the limit may wait. Past it
-# the memory of the entry goes first, and the order of tiers holds here only.
+# While a floor is being requested, up to this multiple of the limits may wait. Above
+# it the entry drops at once to protect its memory, in order of tiers only locally.
 HARD_LIMIT_FACTOR = 2
 RANK_BOUND = 1 << 30
 
@@ -50,7 +50,7 @@
         self.retries = RetryAllowance(budget=service.retry_budget)
 
     def configure(self, service: Service, version: int, now_s: float) -> None:
-        """Put another document in force."""
+        """Apply another version of the service's document."""
         self.service = service
         self.version = version
         self.queue.reconfigure(service, now_s)
@@ -60,20 +60,20 @@
         self.retries.reconfigure(service.retry_budget)
 
     def cached_tokens(self, tracked: TrackedRequest) -> dict[str, int]:
-        """Return the upstreams believed to hold the request's prefix."""
+        """Return the cached tokens of the request's prefix by upstream."""
         hashes = tracked.call.prefix_hashes
         if not hashes:
             return {}
         return self.prefix_index.lookup(hashes, self.service.prefixes.block_tokens)
 
     def enqueue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
-        """Let a request wait; return the upstreams believed warm for it."""
+        """Queue a request; return its cached tokens by upstream."""
         warm = self.cached_tokens(tracked)
         self.queue.add(self._waiting(tracked, warm), now_s)
         return warm
 
     def requeue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
-        """Let a request wait again that was granted and did not run."""
+        """Queue again a request that was granted and did not run."""
         warm = self.cached_tokens(tracked)
         self.queue.requeue(self._waiting(tracked, warm), now_s)
         return warm
@@ -88,23 +88,23 @@
         )
 
     def retry_after_s(self, rank: int, now_s: float) -> float:
-        """Return when a caller of a tier should come back, with jitter."""
+        """Return the seconds after which a caller should retry, with jitter."""
         return self.admission.retry_after_s(rank, now_s, self.queue, self.drain_rate)
 
     def is_below_floor(self, rank: int, now_s: float) -> bool:
-        """Return whether a floor in force keeps this tier out."""
+        """Return whether the tier is below the current floor."""
         floor = self.floors.floor_rank(now_s)
         return floor is not None and rank < floor
 
     def is_full(self) -> bool:
-        """Return whether more waits than the document allows."""
+        """Return whether the queue exceeds the document's limits."""
         limits = self.service.waiting
         return (
             len(self.queue) > limits.requests_max or self.queue.bytes > limits.bytes_max
         )
 
     def is_overfull(self) -> bool:
-        """Return whether the entry's memory is in danger."""
+        """Return whether the queue exceeds the hard limit."""
         limits = self.service.waiting
         return (
             len(self.queue) > limits.requests_max * HARD_LIMIT_FACTOR
@@ -114,13 +114,12 @@
     def remove_victims(
         self, now_s: float, peers: set[InstanceId], excess: int, is_forced: bool
     ) -> tuple[list, list]:
-        """Return the requests to drop for want of room, and other actions.
+        """Remove and return the requests to drop, and other actions.
 
-        `excess` is what the entry holds too much of, over all its services.
+        `excess` is the number of requests over the entry's limit, in all services.
 
-        The lowest tier goes first, here and at every other entry: before work
-        is dropped of a tier that isn't the lowest, the peers must have dropped
-        theirs below it.
+        The lowest tier is dropped first, across all entries: before a request of a
+        higher tier is dropped, the peers must have dropped theirs below it.
         """
         dropped, actions = [], []
         while len(self.queue) and (self.is_full() or len(dropped) < excess):
@@ -137,7 +136,7 @@
     def answer_pull(
         self, pull: Pull, view: AgentView, now_s: float
     ) -> tuple[list[Grant], PullDone]:
-        """Take out what an agent may run, at most as much as it pulled."""
+        """Dequeue and grant requests, at most as many as the agent's slots."""
         grants = []
         while len(grants) < pull.slots:
             request = self._take(pull.rank_min, view, now_s)
@@ -147,7 +146,7 @@
         return grants, self._done(pull, grants, view)
 
     def push(self, nonce: str, view: AgentView, now_s: float) -> Grant | None:
-        """Take out what is pushed to an agent, whatever room it has."""
+        """Dequeue and grant one request, regardless of the agent's free slots."""
         request = self._take(-RANK_BOUND, view, now_s)
         return None if request is None else self._grant(request, nonce, now_s)
 
@@ -185,8 +184,8 @@
     def _done(self, pull: Pull, grants: list[Grant], view: AgentView) -> PullDone:
         waiting = self.queue.counts()
         if not grants:
-            # Nothing that waits at these tiers is for this agent now; it would
-            # only ask again at once, without end. The next demand tells it.
+            # No request at these tiers is available to this agent now. If they were
+            # reported, it would pull again in a loop; the next demand notifies it.
             waiting = {r: n for r, n in waiting.items() if r < pull.rank_min}
         self.demand.record_notified(view.agent, waiting)
         return PullDone(
--- a/lavenderspoke/tracked.py
+++ b/lavenderspoke/tracked.py
@@ -1,4 +1,4 @@
-"""The requests that an entry has taken and not yet answered."""
+"""The requests that an entry has admitted and not yet answered."""
 
 import enum
 
@@ -11,24 +11,23 @@
 
 
 class Phase(enum.Enum):
-    """Where a request stands in its entry."""
+    """The state of a request in its entry."""
 
-    CLAIMING = "claiming"  # its key is being claimed; nothing was granted
+    CLAIMING = "claiming"  # its key is being claimed; it is not granted
     WAITING = "waiting"  # in the queue
-    GRANTED = "granted"  # an agent has it and hasn't said so yet
-    RUNNING = "running"  # an agent has said that it was dispatched
-    RESUMING = "resuming"  # its agent is gone; a new one asks the upstream
+    GRANTED = "granted"  # sent to an agent that hasn't confirmed it yet
+    RUNNING = "running"  # an agent has confirmed the dispatch
+    RESUMING = "resuming"  # its agent died; the successor asks the upstream
 
 
 @attrs.define(kw_only=True)
 class TrackedRequest:
-    """One request and all that the entry knows of it.
+    """One request and its state in the entry.
 
-    `run_id` is the id under which its answer comes: its own, or that of the
-    earlier attempt whose run it follows. `first_stamp` is the roster offset
-    when it arrived; a stamp above it rests on claims. `is_contested` says that
-    another attempt was found to hold its key. Times are on the entry's
-    clock.
+    `run_id` is the id of the run whose answer it gets: its own, or that of an
+    earlier attempt. `first_stamp` is the roster offset on arrival; a higher `stamp`
+    comes from a round of claims. `is_contested` is set once an agent reports that
+    another attempt holds its key. Times are on the entry's monotonic clock.
     """
 
     arrival: Arrival
@@ -63,13 +62,13 @@
 
     @property
     def is_with_agent(self) -> bool:
-        """Whether an agent has or may have it."""
+        """Whether an agent has it or may have it."""
         return self.phase in (Phase.GRANTED, Phase.RUNNING, Phase.RESUMING)
 
 
 @attrs.define(kw_only=True)
 class TrackedRequests:
-    """Every tracked request, found by its id or by the run that it follows."""
+    """Every tracked request, indexed by its id and by the run it follows."""
 
     _by_id: dict[str, TrackedRequest] = attrs.field(factory=dict)
     _by_run: dict[str, set[str]] = attrs.field(factory=dict)
@@ -89,7 +88,7 @@
         return self._by_id.get(request_id)
 
     def remove(self, request_id: str) -> TrackedRequest | None:
-        """Forget a request that has its final answer."""
+        """Stop tracking a request; return it, or None if it is not tracked."""
         tracked = self._by_id.pop(request_id, None)
         if tracked is not None:
             self._unfollow(tracked)
@@ -98,7 +97,7 @@
     def grant(
         self, tracked: TrackedRequest, agent: InstanceId, nonce: str, now_s: float
     ) -> None:
-        """Note that the right to dispatch a request has gone to an agent."""
+        """Record that a request was granted to an agent."""
         tracked.phase = Phase.GRANTED
         tracked.nonce = nonce
         tracked.granted_s = now_s
@@ -107,20 +106,20 @@
     def attach(
         self, tracked: TrackedRequest, agent: InstanceId, run_id: str, now_s: float
     ) -> None:
-        """Note that a request follows the run of an earlier attempt."""
+        """Record that a request follows the run of an earlier attempt."""
         tracked.phase = Phase.RUNNING
         tracked.nonce = ""
         self._follow(tracked, agent, run_id, now_s)
 
     def release(self, tracked: TrackedRequest) -> None:
-        """Note that a request provably did not run and is the entry's again."""
+        """Take back a request that provably did not run; it waits again."""
         tracked.phase = Phase.WAITING
         tracked.agent = None
         tracked.nonce = ""
         self._unfollow(tracked)
 
     def followers(self, run_id: str, agent: InstanceId) -> list[TrackedRequest]:
-        """Return the requests whose answer is this run's, at this agent."""
+        """Return the requests that follow a run at an agent."""
         followers = [self._by_id[each] for each in self._by_run.get(run_id, ())]
         return [tracked for tracked in followers if tracked.agent == agent]
 
