--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -139,8 +139,8 @@
     def handle(self, event: object, now_s: float) -> list:
         """Handle one event; return the actions to perform, in order."""
         self._notice_pause(now_s)
-        actions = self._settle(self._on(event, now_s), now_s)
-        actions += self._settle(self._timers(now_s), now_s)
+        actions = self._apply_internal(self._on_event(event, now_s), now_s)
+        actions += self._apply_internal(self._timers(now_s), now_s)
         if self.draining and not len(self.requests):
             actions.append(Exit())
         return actions
@@ -156,7 +156,7 @@
             return min(self._check_due_s, self._heartbeat_due_s)
         return self._heartbeat_due_s
 
-    def _settle(self, actions: list, now_s: float) -> list:
+    def _apply_internal(self, actions: list, now_s: float) -> list:
         """Apply the core's internal actions; return those for the daemon."""
         done = []
         pending = list(actions)
@@ -165,7 +165,7 @@
             if isinstance(action, events.Finish):
                 pending[:0] = self._finish(action, now_s)
             elif isinstance(action, events.DidNotRun):
-                pending[:0] = self._put_back(action, now_s)
+                pending[:0] = self._on_did_not_run(action, now_s)
             elif isinstance(action, events.Answered):
                 state = self.services[action.call.service]
                 state.crashes.record_answered(action.call.fingerprint)
@@ -188,12 +188,12 @@
         for state in self.services.values():
             actions += self.dropper.drop_expired(state, now_s)
             actions += self.dropper.shed_excess(state, now_s)
-            actions += self._tell_or_push(state, now_s)
+            actions += self._notify_or_push(state, now_s)
         for request_id in self._due_queue.pop_due(now_s):
             tracked = self.requests.get(request_id)
             if tracked is not None and tracked.phase is not Phase.WAITING:
                 actions += self._check_one(tracked, now_s)
-                self._watch(tracked, now_s)
+                self._schedule_check(tracked, now_s)
         return actions
 
     def _check_one(self, tracked: TrackedRequest, now_s: float) -> list:
@@ -201,7 +201,7 @@
             return self._check_claims(tracked, now_s)
         return self.grant_follower.check(tracked, now_s)
 
-    def _watch(self, tracked: TrackedRequest, now_s: float) -> None:
+    def _schedule_check(self, tracked: TrackedRequest, now_s: float) -> None:
         """Schedule the next check of a request, no later than its deadline."""
         is_flowing = tracked.phase is Phase.RUNNING and not tracked.reassembly.has_gap
         watch_s = WATCH_FLOWING_INTERVAL_S if is_flowing else WATCH_INTERVAL_S
@@ -209,10 +209,10 @@
         self._due_queue.add(tracked.request_id, now_s + min(watch_s, until_deadline_s))
 
     def _claim(self, tracked: TrackedRequest, now_s: float) -> list:
-        self._watch(tracked, now_s)
+        self._schedule_check(tracked, now_s)
         return self.claims.begin(tracked, self._service(tracked), now_s)
 
-    def _tell_or_push(self, state: ServiceState, now_s: float) -> list:
+    def _notify_or_push(self, state: ServiceState, now_s: float) -> list:
         agents = self.agents.for_service(state.service.name)
         if self._policy.dispatching is Dispatching.PULL:
             return state.demand.broadcast_if_due(state.queue, agents, now_s)
@@ -227,13 +227,13 @@
             )
             if not grant:
                 break
-            sends.append(self._hand_out(grant, view.agent, now_s))
+            sends.append(self._record_grant(grant, view.agent, now_s))
         return sends
 
-    def _hand_out(self, grant: messages.Grant, agent: InstanceId, now_s) -> Send:
+    def _record_grant(self, grant: messages.Grant, agent: InstanceId, now_s) -> Send:
         tracked = self.requests.get(grant.call.request_id)
         self.requests.grant(tracked, agent, grant.nonce, now_s)
-        self._watch(tracked, now_s)
+        self._schedule_check(tracked, now_s)
         claimed = attrs.evolve(grant, claimed=tracked.claimed)
         return Send(recipient=agent, message=claimed)
 
@@ -252,16 +252,18 @@
         # longer announcement less often.
         self._heartbeats += 1
         to_agents = self._heartbeats % ANNOUNCE_EVERY == 0
-        actions += self._announce(self._everyone() if to_agents else self._entries())
+        actions += self._announce(
+            self._all_recipients() if to_agents else self._entry_recipients()
+        )
         for state in self.services.values():
             agents = self.agents.for_service(state.service.name)
             actions += state.demand.notify_all(state.queue, agents)
         return actions
 
-    def _everyone(self) -> list[InstanceId]:
-        return [view.agent for view in self.agents.all()] + self._entries()
+    def _all_recipients(self) -> list[InstanceId]:
+        return [view.agent for view in self.agents.all()] + self._entry_recipients()
 
-    def _entries(self) -> list[InstanceId]:
+    def _entry_recipients(self) -> list[InstanceId]:
         known = self.peers.ids()
         names = {peer.name for peer in known}
         listed = [name for name in self._listed_entries if name not in names]
@@ -281,18 +283,18 @@
     # Events from the daemon
 
     @functools.singledispatchmethod
-    def _on(self, event: object, now_s: float) -> list:
+    def _on_event(self, event: object, now_s: float) -> list:
         raise TypeError(f"unknown event {event!r}")
 
-    @_on.register
+    @_on_event.register
     def _(self, event: Tick, now_s: float) -> list:
         return []
 
-    @_on.register
+    @_on_event.register
     def _(self, event: Received, now_s: float) -> list:
-        return self._from(event.message, event.sender, now_s)
+        return self._on_message(event.message, event.sender, now_s)
 
-    @_on.register
+    @_on_event.register
     def _(self, event: DocumentInForce, now_s: float) -> list:
         name = event.service.name
         state = self.services.get(name)
@@ -308,40 +310,40 @@
             )
         return []
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.PeersListed, now_s: float) -> list:
         self._listed_entries = event.entry_names
         self.agents.set_listed_leaving(event.leaving_agents)
         return []
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.DrainRequested, now_s: float) -> list:
         self.draining = True
-        return self._announce(self._everyone())
+        return self._announce(self._all_recipients())
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.RosterRecord, now_s: float) -> list:
         self.roster.apply(offset=event.offset, payload=event.payload, now_s=now_s)
         return []
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.RosterReached, now_s: float) -> list:
         self.roster.advance_to(event.offset)
         actions = []
-        for tracked in self._reading(event.read_ids):
+        for tracked in self._awaiting_read(event.read_ids):
             actions += self.claims.roster_read(tracked, self._service(tracked), now_s)
             actions += self._check_claims(tracked, now_s)
         return actions
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.RosterReadFailed, now_s: float) -> list:
         actions = []
-        for tracked in self._reading(event.read_ids):
+        for tracked in self._awaiting_read(event.read_ids):
             tracked.claim_round.roster_failed()
             actions += self._check_claims(tracked, now_s)
         return actions
 
-    def _reading(self, read_ids: tuple[str, ...]) -> list[TrackedRequest]:
+    def _awaiting_read(self, read_ids: tuple[str, ...]) -> list[TrackedRequest]:
         # A read may end after its round has timed out, when the request may be
         # waiting or granted. Treated as still claiming, it would be queued again,
         # and a second agent would run it.
@@ -358,7 +360,7 @@
 
     # Arrival
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.Arrived, now_s: float) -> list:
         arrival = event.arrival
         problem = self.arrival_checks.find_problem(arrival, self.draining, now_s)
@@ -383,9 +385,9 @@
         self.requests.add(tracked)
         if arrival.call.key is not None and arrival.sending is Sending.RESEND:
             return self._claim(tracked, now_s)
-        return self._wait(tracked, now_s)
+        return self._enqueue(tracked, now_s)
 
-    def _wait(self, tracked: TrackedRequest, now_s: float) -> list:
+    def _enqueue(self, tracked: TrackedRequest, now_s: float) -> list:
         state = self.services[tracked.call.service]
         tracked.phase = Phase.WAITING
         warm = state.enqueue(tracked, now_s)
@@ -401,7 +403,7 @@
             tracked.call, warm, state.queue, agents, now_s
         )
 
-    @_on.register
+    @_on_event.register
     def _(self, event: events.CallerGone, now_s: float) -> list:
         tracked = self.requests.get(event.request_id)
         if tracked is None:
@@ -429,7 +431,7 @@
             )
             return step.actions + found
         if step.may_wait:
-            return step.actions + self._wait(tracked, now_s)
+            return step.actions + self._enqueue(tracked, now_s)
         return step.actions
 
     # Final answers
@@ -457,20 +459,20 @@
             events.Reply(request_id=tracked.request_id, part=part),
         ]
 
-    def _put_back(self, put_back: events.DidNotRun, now_s: float) -> list:
+    def _on_did_not_run(self, event: events.DidNotRun, now_s: float) -> list:
         """Requeue, re-claim or drop a request that provably did not run."""
-        tracked = self.requests.get(put_back.request_id)
+        tracked = self.requests.get(event.request_id)
         if tracked is None:
             return []
         self.requests.release(tracked)
-        counted = Count(name="retries", reason=put_back.reason)
+        counted = Count(name="retries", reason=event.reason)
         state = self.services[tracked.call.service]
         # Requeued below a floor, it would be kept while a higher tier is shed. So
         # would one that claims its key again, since it waits after its round.
         is_below = state.is_below_floor(tracked.call.tier, now_s)
-        if put_back.reason == KEY_HELD:
+        if event.reason == KEY_HELD:
             tracked.is_contested = True
-        if put_back.reason in KEY_REFUSALS:
+        if event.reason in KEY_REFUSALS:
             if is_below:
                 # Another attempt with this key may run.
                 problem = Problem(reason=Reason.SHED, ran=Ran.UNKNOWN)
@@ -492,39 +494,43 @@
     # Messages from agents and other entries
 
     @functools.singledispatchmethod
-    def _from(self, message: object, sender: InstanceId, now_s: float) -> list:
+    def _on_message(self, message: object, sender: InstanceId, now_s: float) -> list:
         return [Count(name="messages_ignored", reason=type(message).__name__)]
 
-    @_from.register(messages.Granted)
-    @_from.register(messages.Refused)
-    @_from.register(messages.Revoked)
-    @_from.register(messages.Pieces)
+    @_on_message.register(messages.Granted)
+    @_on_message.register(messages.Refused)
+    @_on_message.register(messages.Revoked)
+    @_on_message.register(messages.Pieces)
     def _(self, message, sender, now_s) -> list:
         return self.grant_follower.receive(message, sender, now_s)
 
-    @_from.register(messages.CrashEvidence)
-    @_from.register(messages.Quarantined)
-    @_from.register(messages.PrefixHeld)
-    @_from.register(messages.Floor)
-    @_from.register(messages.FloorHeld)
+    @_on_message.register(messages.CrashEvidence)
+    @_on_message.register(messages.Quarantined)
+    @_on_message.register(messages.PrefixHeld)
+    @_on_message.register(messages.Floor)
+    @_on_message.register(messages.FloorHeld)
     def _(self, message, sender, now_s) -> list:
         return self.service_messages.receive(message, sender, now_s)
 
-    @_from.register
+    @_on_message.register
     def _(self, message: messages.Announce, sender, now_s) -> list:
         known = self.agents.get(sender) is not None
         is_new = self.agents.record_announcement(sender, message, now_s)
-        actions = [] if known else self._welcome(sender, message)
-        return actions + self._succeeded(sender, message, now_s) if is_new else actions
+        actions = [] if known else self._announce_to_agent(sender, message)
+        return (
+            actions + self._on_successor(sender, message, now_s) if is_new else actions
+        )
 
-    def _welcome(self, agent: InstanceId, announce: messages.Announce) -> list:
+    def _announce_to_agent(
+        self, agent: InstanceId, announce: messages.Announce
+    ) -> list:
         actions = self._announce([agent])
         state = self.services.get(announce.service)
         if state is not None and self.agents.get(agent) is not None:
             actions += state.demand.notify_all(state.queue, [self.agents.get(agent)])
         return actions
 
-    def _succeeded(self, new: InstanceId, announce, now_s: float) -> list:
+    def _on_successor(self, new: InstanceId, announce, now_s: float) -> list:
         state = self.services.get(announce.service)
         if state is None:
             return []
@@ -532,12 +538,12 @@
         can_resume = state.service.upstreams.kind is Kind.MODEL
         return self.grant_follower.on_successor(new, can_resume, now_s)
 
-    @_from.register
+    @_on_message.register
     def _(self, message: messages.EntryAnnounce, sender, now_s) -> list:
         is_new = self.peers.record_announcement(sender, message, now_s)
         return self._announce([sender]) if is_new else []
 
-    @_from.register
+    @_on_message.register
     def _(self, message: messages.Pull, sender, now_s) -> list:
         state = self.services.get(message.service)
         view = self.agents.get(sender)
@@ -545,10 +551,10 @@
         if state is None or view is None or not view.accepts_work:
             return []
         grants, done = state.answer_pull(message, view, now_s)
-        sends = [self._hand_out(grant, sender, now_s) for grant in grants]
+        sends = [self._record_grant(grant, sender, now_s) for grant in grants]
         return [*sends, Send(recipient=sender, message=done)]
 
-    @_from.register
+    @_on_message.register
     def _(self, message: messages.Claimed, sender, now_s) -> list:
         tracked = self.requests.get(message.request_id)
         if tracked is None or tracked.phase is not Phase.CLAIMING:
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -49,7 +49,7 @@
         """Handle an agent's message about granted requests."""
         raise TypeError(f"message {message!r} does not concern a grant")
 
-    def _granted_on(self, message, sender: InstanceId) -> TrackedRequest | None:
+    def _with_current_grant(self, message, sender: InstanceId) -> TrackedRequest | None:
         # A reply may be late or duplicated, after the request was granted
         # elsewhere. Only a reply to the current grant counts.
         tracked = self.requests.get(message.request_id)
@@ -59,7 +59,7 @@
 
     @receive.register
     def _(self, message: messages.Granted, sender, now_s) -> list:
-        tracked = self._granted_on(message, sender)
+        tracked = self._with_current_grant(message, sender)
         if tracked is None:
             return []
         tracked.last_heard_s = now_s
@@ -69,42 +69,42 @@
 
     @receive.register
     def _(self, message: messages.Refused, sender, now_s) -> list:
-        tracked = self._granted_on(message, sender)
+        tracked = self._with_current_grant(message, sender)
         if tracked is None:
             return []
-        return self._never(tracked, message.reason, now_s)
+        return self._on_never_ran(tracked, message.reason, now_s)
 
     @receive.register
     def _(self, message: messages.Revoked, sender, now_s) -> list:
         if message.nonce:
-            tracked = self._granted_on(message, sender)
+            tracked = self._with_current_grant(message, sender)
             followers = [] if tracked is None else [tracked]
         else:
             followers = self.requests.followers(message.request_id, sender)
         actions = []
         for tracked in followers:
-            actions += self._stands(tracked, message.standing, now_s)
+            actions += self._apply_standing(tracked, message.standing, now_s)
         return actions
 
-    def _stands(
+    def _apply_standing(
         self, tracked: TrackedRequest, standing: Standing, now_s: float
     ) -> list:
         tracked.last_heard_s = now_s
         if standing is Standing.NEVER:
-            return self._never(tracked, "revoked", now_s)
+            return self._on_never_ran(tracked, "revoked", now_s)
         if tracked.phase is Phase.GRANTED:
             tracked.phase = Phase.RUNNING
         if standing is Standing.FINISHED:
-            return [self._ends(tracked, "the answer is no longer held", Ran.YES)]
+            return [self._fail(tracked, "the answer is no longer held", Ran.YES)]
         if standing is Standing.FAILED:
-            return [self._ends(tracked, "the answer can't be completed", Ran.UNKNOWN)]
+            return [self._fail(tracked, "the answer can't be completed", Ran.UNKNOWN)]
         if standing is Standing.UNKNOWN and tracked.phase is Phase.RUNNING:
-            return [self._ends(tracked, "the agent does not know it", Ran.UNKNOWN)]
+            return [self._fail(tracked, "the agent does not know it", Ran.UNKNOWN)]
         return []
 
-    def _never(self, tracked: TrackedRequest, reason: str, now_s: float) -> list:
+    def _on_never_ran(self, tracked: TrackedRequest, reason: str, now_s: float) -> list:
         if now_s - tracked.granted_s > NEVER_RAN_TRUST_S:
-            return [self._ends(tracked, "asked too late", Ran.UNKNOWN)]
+            return [self._fail(tracked, "asked too late", Ran.UNKNOWN)]
         return [DidNotRun(request_id=tracked.request_id, reason=reason)]
 
     @receive.register
@@ -112,23 +112,23 @@
         actions = []
         for piece in message.pieces:
             for tracked in self.requests.followers(piece.request_id, sender):
-                actions += self._piece(tracked, piece, now_s)
+                actions += self._add_piece(tracked, piece, now_s)
         return actions
 
-    def _piece(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
+    def _add_piece(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
         tracked.last_heard_s = now_s
         tracked.phase = Phase.RUNNING
         actions = []
         for ready in tracked.reassembly.add(piece):
-            actions += self._part(tracked, ready, now_s)
+            actions += self._deliver(tracked, ready, now_s)
         return actions
 
-    def _part(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
+    def _deliver(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
         request_id = tracked.request_id
         if piece.error is not None:
-            return [self._ends(tracked, piece.error, Ran.UNKNOWN)]
+            return [self._fail(tracked, piece.error, Ran.UNKNOWN)]
         if piece.count is not None:
-            return self._last(tracked, piece, now_s)
+            return self._complete(tracked, piece, now_s)
         if piece.head is not None:
             tracked.head_sent = True
             return [Reply(request_id=request_id, part=piece.head)]
@@ -137,9 +137,9 @@
             actions.append(observe("first_part_s", tracked, now_s))
         return actions
 
-    def _last(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
+    def _complete(self, tracked: TrackedRequest, piece: Piece, now_s: float) -> list:
         if not is_complete(piece):
-            return [self._ends(tracked, "the count of pieces is wrong", Ran.YES)]
+            return [self._fail(tracked, "the count of pieces is wrong", Ran.YES)]
         taken = messages.AnswerTaken(request_id=tracked.run_id)
         self.requests.remove(tracked.request_id)
         late = now_s > tracked.deadline_s
@@ -151,7 +151,7 @@
             observe("answer_s", tracked, now_s),
         ]
 
-    def _ends(self, tracked: TrackedRequest, detail: str, ran: Ran) -> Finish:
+    def _fail(self, tracked: TrackedRequest, detail: str, ran: Ran) -> Finish:
         incomplete = tracked.head_sent or ran is Ran.YES
         reason = Reason.ANSWER_INCOMPLETE if incomplete else Reason.OUTCOME_UNKNOWN
         problem = Problem(reason=reason, ran=ran, detail=detail)
@@ -163,26 +163,26 @@
         """Query the agent of a silent request, or fail it after its deadline."""
         if not tracked.is_with_agent:
             return []
-        if self._is_over(tracked, now_s):
+        if self._has_timed_out(tracked, now_s):
             return [
                 Send(
                     recipient=tracked.agent,
                     message=messages.Cancel(request_id=tracked.run_id),
                 ),
-                self._ends(tracked, "no answer from the agent", Ran.UNKNOWN),
+                self._fail(tracked, "no answer from the agent", Ran.UNKNOWN),
             ]
         if now_s - tracked.last_asked_s < self.times.retry_interval_s:
             return []
         silent_s = now_s - tracked.last_heard_s
         if tracked.phase is Phase.GRANTED and silent_s >= self.times.grant_timeout_s:
-            return self._ask(tracked, self._revoke(tracked), now_s)
+            return self._query(tracked, self._revoke(tracked), now_s)
         if tracked.phase is Phase.RESUMING:
-            return self._ask(tracked, self._resume(tracked), now_s)
+            return self._query(tracked, self._resume(tracked), now_s)
         if tracked.reassembly.has_gap or silent_s >= self.times.attach_after_s:
-            return self._ask(tracked, self._attach(tracked), now_s)
+            return self._query(tracked, self._attach(tracked), now_s)
         return []
 
-    def _is_over(self, tracked: TrackedRequest, now_s: float) -> bool:
+    def _has_timed_out(self, tracked: TrackedRequest, now_s: float) -> bool:
         if now_s < tracked.deadline_s:
             return False
         # An answer that has begun is delivered to its end, however late, while
@@ -190,7 +190,7 @@
         silent_s = now_s - tracked.last_heard_s
         return not tracked.head_sent or silent_s >= self.times.silence_timeout_s
 
-    def _ask(self, tracked: TrackedRequest, message, now_s: float) -> list:
+    def _query(self, tracked: TrackedRequest, message, now_s: float) -> list:
         tracked.last_asked_s = now_s
         return [
             Count(name="retries", reason=type(message).__name__.lower()),
@@ -229,12 +229,12 @@
                 continue
             if not can_resume:
                 detail = "the agent died; the upstream can't be asked"
-                actions.append(self._ends(tracked, detail, Ran.UNKNOWN))
+                actions.append(self._fail(tracked, detail, Ran.UNKNOWN))
                 continue
             tracked.agent = new
             tracked.phase = Phase.RESUMING
             tracked.nonce = ""
-            actions += self._ask(tracked, self._resume(tracked), now_s)
+            actions += self._query(tracked, self._resume(tracked), now_s)
         return actions
 
 
--- a/lavenderspoke/keyclaims.py
+++ b/lavenderspoke/keyclaims.py
@@ -60,10 +60,10 @@
         self, tracked: TrackedRequest, service: Service, now_s: float
     ) -> list:
         """Ask every possible key holder, once the roster was read to its end."""
-        lives = self.roster.possible_key_holders(
+        holders = self.roster.possible_key_holders(
             service.name, now_s=now_s, key_lifetime_s=service.keys.lifetime_s
         )
-        return tracked.claim_round.roster_read(lives, self.roster.offset, now_s)
+        return tracked.claim_round.roster_read(holders, self.roster.offset, now_s)
 
     def check(
         self, tracked: TrackedRequest, service: Service, now_s: float
--- a/lavenderspoke/membership/roster.py
+++ b/lavenderspoke/membership/roster.py
@@ -99,7 +99,7 @@
     lease_s: float
     offset: int = -1
     skipped: int = 0
-    _lives: dict[InstanceId, AgentIncarnation] = attrs.field(factory=dict)
+    _incarnations: dict[InstanceId, AgentIncarnation] = attrs.field(factory=dict)
 
     def apply(self, *, offset: int, payload: bytes, now_s: float) -> None:
         """Apply one record; an undecodable one is skipped and counted."""
@@ -119,7 +119,7 @@
         self.offset = max(self.offset, offset)
 
     def _join(self, join: Join, offset: int, now_s: float) -> None:
-        life = self._lives.get(join.agent)
+        life = self._incarnations.get(join.agent)
         if life is not None:
             life.last_heard_s = now_s
             return
@@ -131,18 +131,20 @@
             join_offset=offset if join.join_offset is None else join.join_offset,
             last_heard_s=now_s,
         )
-        self._lives[join.agent] = life
-        self._mark_succeeded(join.agent.name)
+        self._incarnations[join.agent] = life
+        self._mark_superseded(join.agent.name)
 
-    def _mark_succeeded(self, name: str) -> None:
+    def _mark_superseded(self, name: str) -> None:
         # Renewals may come in any order: the highest join offset is current.
-        lives = [life for life in self._lives.values() if life.agent.name == name]
+        lives = [
+            life for life in self._incarnations.values() if life.agent.name == name
+        ]
         newest = max(life.join_offset for life in lives)
         for life in lives:
             life.superseded = life.join_offset < newest
 
     def _leave(self, leave: Leave, now_s: float) -> None:
-        life = self._lives.get(leave.agent)
+        life = self._incarnations.get(leave.agent)
         if life is not None:
             life.left = True
             life.heir = leave.heir
@@ -150,7 +152,7 @@
 
     def get(self, agent: InstanceId) -> AgentIncarnation | None:
         """Return the state of an incarnation, or None if it is unknown."""
-        return self._lives.get(agent)
+        return self._incarnations.get(agent)
 
     def possible_key_holders(
         self, service: str, *, now_s: float, key_lifetime_s: float
@@ -164,16 +166,18 @@
         """
         horizon_s = now_s - self.lease_s - key_lifetime_s
         expired = [
-            key for key, life in self._lives.items() if life.last_heard_s < horizon_s
+            key
+            for key, life in self._incarnations.items()
+            if life.last_heard_s < horizon_s
         ]
         for key in expired:
-            del self._lives[key]
-        return [life for life in self._lives.values() if life.service == service]
+            del self._incarnations[key]
+        return [life for life in self._incarnations.values() if life.service == service]
 
     def alive(self, service: str) -> list[AgentIncarnation]:
         """Return the incarnations that have neither left nor been superseded."""
         return [
             life
-            for life in self._lives.values()
+            for life in self._incarnations.values()
             if life.service == service and not life.left and not life.superseded
         ]
--- a/lavenderspoke/reports.py
+++ b/lavenderspoke/reports.py
@@ -14,7 +14,7 @@
     running = {name: {} for name in core.services}
     for name, state in core.services.items():
         waiting[name] = by_tier_name(state.service, state.queue.counts())
-        running[name] = by_tier_name(state.service, _out(core, name))
+        running[name] = by_tier_name(state.service, _running_by_tier(core, name))
     return {
         "waiting": waiting,
         "running": running,
@@ -30,7 +30,7 @@
     return {tier.name: counts.get(tier.rank, 0) for tier in service.tiers}
 
 
-def _out(core: EntryCore, name: str) -> Counter:
+def _running_by_tier(core: EntryCore, name: str) -> Counter:
     return Counter(
         tracked.call.tier
         for tracked in core.requests
--- a/lavenderspoke/resend.py
+++ b/lavenderspoke/resend.py
@@ -118,8 +118,8 @@
         if self._unreachable:
             return ClaimOutcome(result=ClaimResult.UNKNOWN)
         if self.asked is not None and len(self._answers) == len(self.asked):
-            claims = ClaimResult.TAKEN if others else ClaimResult.ALL_HELD
-            return ClaimOutcome(result=claims)
+            result = ClaimResult.TAKEN if others else ClaimResult.ALL_HELD
+            return ClaimOutcome(result=result)
         if now_s >= self.deadline_s:
             return ClaimOutcome(
                 result=ClaimResult.TAKEN if others else ClaimResult.UNKNOWN
--- a/lavenderspoke/rosterfeed.py
+++ b/lavenderspoke/rosterfeed.py
@@ -16,21 +16,21 @@
         self._log = log
         self._post = post
         self._lock = threading.Lock()
-        self._wanted: list[str] = []
+        self._requested_reads: list[str] = []
         self._next_offset = FIRST_OFFSET
         self.corrupt_offsets: set[int] = set()
 
     def request_read(self, read_id: str) -> None:
         """Request a read that begins after this call."""
         with self._lock:
-            self._wanted.append(read_id)
+            self._requested_reads.append(read_id)
 
     def poll(self) -> None:
         """Read the stream to its current end and post the result."""
         # Taken before the read begins: a request made during it needs an end of the
         # stream that is later than the request, so it waits for the next read.
         with self._lock:
-            read_ids, self._wanted = tuple(self._wanted), []
+            read_ids, self._requested_reads = tuple(self._requested_reads), []
         if self._read():
             reached = RosterReached(offset=self._next_offset - 1, read_ids=read_ids)
             self._post(reached)
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -139,21 +139,21 @@
         """Dequeue and grant requests, at most as many as the agent's slots."""
         grants = []
         while len(grants) < pull.slots:
-            request = self._take(pull.rank_min, view, now_s)
+            request = self._dequeue(pull.rank_min, view, now_s)
             if request is None:
                 break
             grants.append(self._grant(request, pull.nonce, now_s))
-        return grants, self._done(pull, grants, view)
+        return grants, self._pull_done(pull, grants, view)
 
     def push(self, nonce: str, view: AgentView, now_s: float) -> Grant | None:
         """Dequeue and grant one request, regardless of the agent's free slots."""
-        request = self._take(-RANK_BOUND, view, now_s)
+        request = self._dequeue(-RANK_BOUND, view, now_s)
         return None if request is None else self._grant(request, nonce, now_s)
 
-    def _take(
+    def _dequeue(
         self, rank_min: int, view: AgentView, now_s: float
     ) -> WaitingRequest | None:
-        if self.policy.queue.tiers and self._highest() < rank_min:
+        if self.policy.queue.tiers and self._highest_rank() < rank_min:
             return None
         request = self.queue.take(now_s, upstream=view.announce.upstream)
         if request is None:
@@ -161,13 +161,13 @@
         if self.policy.queue.tiers and request.call.tier < rank_min:
             self.queue.requeue(request, now_s)
             return None
-        self._drained(request, now_s)
+        self._record_drain(request, now_s)
         return request
 
-    def _highest(self) -> int:
+    def _highest_rank(self) -> int:
         return max(self.queue.counts(), default=-RANK_BOUND)
 
-    def _drained(self, request: WaitingRequest, now_s: float) -> None:
+    def _record_drain(self, request: WaitingRequest, now_s: float) -> None:
         call = request.call
         self.drain_rate.record_grant(
             call.tier, cost_tokens(call), now_s, self.queue.counts()
@@ -181,7 +181,7 @@
             deadline_in_s=request.deadline_s - now_s,
         )
 
-    def _done(self, pull: Pull, grants: list[Grant], view: AgentView) -> PullDone:
+    def _pull_done(self, pull: Pull, grants: list[Grant], view: AgentView) -> PullDone:
         waiting = self.queue.counts()
         if not grants:
             # No request at these tiers is available to this agent now. If they were
