--- a/features/atmostonce.feature
+++ b/features/atmostonce.feature
@@ -1,11 +1,11 @@
 Feature: Every request is dispatched at most once
-  Each run is counted by the upstream itself. A key sent again through another
-  entry must find the first attempt wherever it stands, or be told "unknown".
+  The upstream itself counts each run. A key re-sent through another entry must
+  find the first attempt in whatever state it is, or be answered "unknown".
 
   Scenario: An entry is killed while a payment waits in it
-    The caller's connection is cut. The payment was in that entry only and no
-    agent had it, so the re-send through the other entry claims its key and
-    runs it: once, although the caller couldn't know that it hadn't run.
+    The caller's connection is cut. The payment was only in that entry, so
+    the re-send through the other entry claims its key and runs it: once, although
+    the caller couldn't know that it hadn't run.
     Given two entries before a payment service with 1 slot
     And each payment takes 1 s
     When payment "a" is sent through entry-1 with key "ka"
@@ -36,7 +36,7 @@
   Scenario: An agent is killed while a payment runs
     The agent's ledger dies with it, and a plain service can't be asked what
     ran. The caller is told "unknown" when the successor comes; so is its
-    re-send, since the successor can't speak for the keys of the dead agent.
+    re-send, since the successor doesn't know the keys of the dead agent.
     Given two entries before a payment service with 4 slots
     And each payment takes 2 s
     When payment "a" is sent through entry-1 with key "ka"
@@ -50,9 +50,9 @@
     And no promise is broken
 
   Scenario: The answer to a grant is lost
-    The agent dispatches, but nothing that it says reaches the entry. The entry
-    neither dispatches again nor gives up: it asks, and when the link heals it
-    is given the answer from the agent's ledger.
+    The agent dispatches, but none of its messages reaches the entry. The entry
+    neither grants again nor gives up: it queries the agent, and once the link
+    works it gets the answer from the agent's ledger.
     Given two proxied entries before a payment service with 4 slots
     And each payment takes 1 s
     When the way to entry-1 is delayed by 300 ms
@@ -69,7 +69,7 @@
     The first send waits in an entry that is paused. The re-send through the
     other entry claims the key at every agent and runs. When the paused entry
     wakes, its grant is refused by the agent that holds the key, and it follows
-    the run that was made: both callers get the one answer.
+    the re-send's run: both callers get the same answer.
     Given two entries before a payment service with 1 slot
     And each payment takes 1 s
     When payment "a" is sent through entry-2 with key "ka"
@@ -85,8 +85,8 @@
     And no promise is broken
 
   Scenario: A paused agent wakes after the other side has given up
-    The agent is frozen with a payment in flight. The re-send can't be answered
-    by the one process that knows, so it is told "unknown" and nothing runs
+    The agent is frozen with a payment in flight. The only process that
+    knows can't answer the re-send, so this is told "unknown" and nothing runs
     again. Once the agent wakes, the first caller gets its answer, and another
     re-send is given the same one.
     Given two entries before a payment service with 4 slots
@@ -103,7 +103,7 @@
     And no promise is broken
 
   Scenario: The log is down
-    First sends stay possible, since they need no read of the roster. A re-send
+    First sends still work, since they need no read of the roster. A re-send
     can't know which agents might hold its key: it is told "unknown", and runs
     nothing. When the log is back it is given the first answer.
     Given two entries before a payment service with 4 slots
@@ -184,8 +184,8 @@
 
   Scenario: The other entry has not read the roster for long
     An agent joined and ran the payment, and then its entry died. The other
-    entry's roster is old; it reads it anew for the re-send, learns of the agent,
-    asks it, and is given the answer.
+    entry's roster is stale; it reads it again for the re-send, learns of the agent,
+    asks it, and gets the answer.
     Given two entries, of which entry-2 reads the log once, before a payment service
     When agent-q has joined with a payment service of its own
     And process agent-p is told to stop and has ended
@@ -211,7 +211,7 @@
     And no promise is broken
 
   Scenario: A paused agent's payment is not given to another
-    The agent is frozen after it dispatched; its silence proves nothing. The
+    The agent is paused after it dispatched; its silence proves nothing. The
     other agent has room, and must not be given the payment.
     Given two entries before two payment services
     And each payment takes 1 s
--- a/features/corebag.py
+++ b/features/corebag.py
@@ -1,9 +1,9 @@
 """Cores of several entries and agents, with a bag of undelivered messages.
 
-A test chooses which message is delivered, doubled or dropped next, when time
-goes on and what fails. The daemons' own roster classes run against a log in
-memory; upstreams are counters that give their answers step by step. What must
-hold after every step is asserted here, in `Promises`.
+A test chooses which message is delivered, duplicated or dropped next, when time
+advances and what fails. The daemons' own roster classes run against an in-memory
+log; upstreams return their answers step by step. `Promises` checks the invariants
+after every step.
 """
 
 import functools
@@ -43,13 +43,13 @@
 SERVICE = "narrative"
 RANKS = (1, 2, 3)
 DEADLINE_MAX_S = 10.0
-# Steps that one settling may take: two cores may answer each other at length.
+# Limit of steps in `settle`: two cores may exchange messages for long.
 SETTLE_MAX = 400
 
 
 @attrs.frozen(kw_only=True)
 class BagSettings:
-    """What runs in a bag; times in seconds."""
+    """The configuration of a bag; times in seconds."""
 
     entries: int = 2
     agents: int = 2
@@ -82,7 +82,7 @@
 
 @attrs.define(kw_only=True)
 class LogView:
-    """One daemon's way to the log, which may be cut."""
+    """One daemon's connection to the log, which may be cut."""
 
     log: MemoryLog
     is_cut: bool = False
@@ -101,10 +101,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Instance:
-    """One life of a daemon: its core, what was posted to it, and its jobs.
+    """One incarnation of a daemon: its core, its posted events and its jobs.
 
-    What is posted inside a daemon keeps its order and isn't lost; jobs are
-    calls of background threads.
+    Posted events keep their order and are not lost; jobs are the calls that
+    background threads would make.
     """
 
     me: InstanceId
@@ -118,11 +118,11 @@
     is_gone: bool = False
 
     @property
-    def runs(self) -> bool:
-        """Whether the process takes a step when it is given one."""
+    def is_running(self) -> bool:
+        """Whether the process is neither paused nor gone."""
         return not (self.is_paused or self.is_gone)
 
-    def work(self) -> None:
+    def run_job(self) -> None:
         """Run the oldest job."""
         self.jobs.pop(0)()
 
@@ -184,22 +184,22 @@
         return self.clock.monotonic_s()
 
     def new_id(self) -> str:
-        """Return an id that no one else has."""
+        """Return a unique id."""
         return f"i{next(self._ids)}"
 
     def instances(self) -> list[Instance]:
-        """Return the lives that are not gone, entries first."""
+        """Return the instances that are not gone, entries first."""
         each = [*self.entries.values(), *self.agents.values()]
         return [instance for instance in each if not instance.is_gone]
 
     # Daemons
 
     def start_entry(self, name: str) -> None:
-        """Start an entry; an earlier life of it is gone, with its callers."""
+        """Start an entry; its earlier incarnation ends with its callers."""
         earlier = self.entries.get(name)
         if earlier is not None:
             earlier.is_gone = True
-            self.promises.cut(earlier)
+            self.promises.entry_died(earlier)
         me = InstanceId(name=name, incarnation=self.new_id())
         core = EntryCore(
             identity=EntryIdentity(me=me, address=name, data_centre="a"),
@@ -218,7 +218,7 @@
         self.entries[name] = entry
 
     def start_agent(self, name: str) -> None:
-        """Start an agent; an earlier life of it is gone, its upstream isn't."""
+        """Start an agent; its earlier incarnation ends, its upstream stays."""
         self._end_agent(self.agents.get(name))
         me = InstanceId(name=name, incarnation=self.new_id())
         identity = AgentIdentity(
@@ -271,23 +271,23 @@
     # Steps
 
     def feed(self, instance: Instance, event: object) -> None:
-        """Give a core an event and carry out what it returns."""
+        """Pass an event to a core and perform the returned actions."""
         actions = instance.core.handle(event, self.now_s)
         for action in actions:
             self._perform(action, instance)
 
     def post_next(self, instance: Instance) -> bool:
-        """Run a job or hand over the next posted event, if there is one."""
-        if not instance.runs or not (instance.jobs or instance.inbox):
+        """Pass on the next posted event or run a job; False if there is none."""
+        if not instance.is_running or not (instance.jobs or instance.inbox):
             return False
         if instance.inbox:
             self.feed(instance, instance.inbox.popleft())
         else:
-            instance.work()
+            instance.run_job()
         return True
 
     def deliver(self, parcel: Envelope) -> bool:
-        """Deliver a message that stays in the bag; False while it must wait."""
+        """Deliver a message, keeping it in the bag; False if the receiver is paused."""
         name = parcel.recipient.name
         instance = self.entries.get(name) or self.agents.get(name)
         if instance is not None and instance.is_paused and not instance.is_gone:
@@ -298,7 +298,7 @@
         return True
 
     def deliver_once(self, parcel: Envelope) -> bool:
-        """Deliver a message and take it out of the bag."""
+        """Deliver a message and remove it from the bag."""
         if not self.deliver(parcel):
             return False
         self.drop(parcel)
@@ -310,7 +310,7 @@
         del self.parcels[at]
 
     def flow(self, steps: int) -> bool:
-        """Let things take their course for a while; False once all is quiet."""
+        """Run posted events and deliver messages; False once nothing is left."""
         for _ in range(steps):
             moved = any([self.post_next(each) for each in self.instances()])
             for parcel in self.parcels[:8]:
@@ -320,17 +320,17 @@
         return True
 
     def settle(self) -> None:
-        """Let everything that is under way arrive."""
+        """Deliver all events and messages in flight."""
         self.flow(SETTLE_MAX)
 
     def advance(self, seconds_s: float) -> None:
-        """Let time go on; whoever isn't paused looks at its timers."""
+        """Advance the clock; tick the running instances whose timers are due."""
         self.clock.advance(seconds_s)
         for instance in self.instances():
             if seconds_s >= 0.25:
                 feed = instance.feed or instance.joining
                 instance.jobs.append(feed.poll)
-            if instance.runs and instance.core.next_due_s() <= self.now_s:
+            if instance.is_running and instance.core.next_due_s() <= self.now_s:
                 self.feed(instance, Tick())
 
     def send(
@@ -342,7 +342,7 @@
         sending: Sending = Sending.FIRST,
         deadline_s: float = 4.0,
     ) -> str:
-        """Let a caller send a request; return its id."""
+        """Send a request as a caller; return its id."""
         call = Call(
             request_id=f"r{next(self._ids)}",
             service=SERVICE,
@@ -359,7 +359,7 @@
         return call.request_id
 
     def answer(self, upstream: BagUpstream, relay: Relay, fault: str = "") -> None:
-        """Let an upstream give the next part of an answer, or fail."""
+        """Post the next part of an upstream's answer, or a fault."""
         request_id, number = relay.request_id, relay.next_number
         parts = bodies(request_id)
         if fault == "not_started" and not (relay.is_resumed or number):
@@ -385,7 +385,7 @@
         relay.agent.inbox.append(event)
 
     def heal(self) -> None:
-        """End every fault and let all requests come to their end."""
+        """End every fault and run until all requests have their final part."""
         self.log.faults.clear()
         self.parcels += self.delayed
         self.delayed.clear()
@@ -404,12 +404,12 @@
         self.settle()
 
     def upstreams_up(self) -> None:
-        """Let the agents hear that their upstreams serve."""
+        """Report to the agents that their upstreams are up."""
         for agent in self.agents.values():
             if not agent.core.upstream_up:
                 agent.inbox.append(agentevents.UpstreamHealth(is_up=True))
 
-    # What the cores ask for
+    # Actions of the cores
 
     @functools.singledispatchmethod
     def _perform(self, action: object, instance: Instance) -> None:
--- a/features/corepromises.py
+++ b/features/corepromises.py
@@ -1,4 +1,4 @@
-"""What must hold whatever happens to the messages between cores."""
+"""Invariants that must hold however messages between cores are delivered."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class Caller:
-    """What one caller sent and was given; its entry may die."""
+    """A caller's request and the parts of its answer; its entry may die."""
 
     call: Call
     entry: object
@@ -40,20 +40,20 @@
     bodies: Callable[[str], list[bytes]]
     callers: dict[str, Caller] = attrs.field(factory=dict)
     runs: dict[str, float] = attrs.field(factory=dict)
-    told_no: set[str] = attrs.field(factory=set)
+    reported_not_run: set[str] = attrs.field(factory=set)
     sheds_checked: int = 0
     dropped: int = 0
 
     def sent(self, call: Call, entry: object) -> None:
-        """Note a request."""
+        """Record a request."""
         self.callers[call.request_id] = Caller(call=call, entry=entry)
 
     def open(self) -> list[str]:
         """Return the requests that have no final answer."""
         return [name for name, caller in self.callers.items() if caller.is_open]
 
-    def cut(self, entry: object) -> None:
-        """Note that an entry has died: its callers get nothing more."""
+    def entry_died(self, entry: object) -> None:
+        """Record that an entry has died: its callers get no further parts."""
         for caller in self.callers.values():
             if caller.entry is entry and caller.is_open:
                 caller.is_cut = True
@@ -62,7 +62,9 @@
         """Check a dispatch before it is counted."""
         request_id = call.request_id
         assert agent.core.accepts, f"{request_id} was dispatched by a leaving agent"
-        assert request_id not in self.told_no, f"{request_id} runs after 'not run'"
+        assert (
+            request_id not in self.reported_not_run
+        ), f"{request_id} runs after 'not run'"
         assert request_id not in self.runs, f"{request_id} runs a second time"
         if call.key is not None:
             for other, began_s in self.runs.items():
@@ -72,7 +74,7 @@
         self.runs[request_id] = now_s
 
     def not_started(self, request_id: str) -> None:
-        """Note that a dispatch provably never reached its upstream."""
+        """Record that a dispatch provably never reached its upstream."""
         del self.runs[request_id]
 
     def replied(self, request_id: str, part: AnswerPart) -> None:
@@ -89,7 +91,7 @@
         if isinstance(problem, Problem) and problem.ran is Ran.NO:
             assert request_id not in self.runs, f"{request_id} ran: {problem}"
             assert not isinstance(part, AnswerBroken), f"{request_id}: {problem}"
-            self.told_no.add(request_id)
+            self.reported_not_run.add(request_id)
 
     def _check_bodies(self, caller: Caller, *, is_whole: bool) -> None:
         given = [part.body for part in caller.parts if isinstance(part, AnswerBody)]
@@ -101,7 +103,7 @@
         assert runs_own or runs_key, f"{caller.call} was given {run_id}"
 
     def shed(self, reply: Reply, entry, entries, now_s: float) -> None:
-        """Check that nothing lower is kept waiting where a request is shed."""
+        """Check that no entry keeps a lower tier waiting when a request is shed."""
         problem = reply.part
         if not isinstance(problem, Problem) or problem.reason is not Reason.SHED:
             return
@@ -117,5 +119,5 @@
             assert not kept, f"{reply.request_id} is shed while {kept} wait"
 
     def check_end(self) -> None:
-        """Check that everyone was answered."""
+        """Check that every caller has its final part."""
         assert not self.open(), f"never answered: {self.open()}"
--- a/features/httpplatform.feature
+++ b/features/httpplatform.feature
@@ -1,6 +1,6 @@
 Feature: The platform's log and member list over HTTP
-  A failed append is either certainly not there or of unknown outcome; the caller
-  of the adapter must be able to tell these apart, or it would publish twice.
+  A failed append either certainly wrote nothing or has an unknown outcome. The
+  adapter's caller must be able to tell these apart, or it would publish twice.
 
   Background:
     Given a platform log stand-in
--- a/features/model_traces.feature
+++ b/features/model_traces.feature
@@ -1,24 +1,24 @@
 Feature: The cores follow the models along the traces that break them
-  Each scenario is a trace that Spin gives when one safeguard is taken out of a
-  model in spec/; with the safeguard in the code, the trace ends well.
+  Each scenario is a counterexample that Spin finds when one safeguard is removed
+  from a model in spec/. With the safeguard in the code it must end correctly.
 
   Scenario: A grant that comes after its revocation is refused (grant WITHOUT_BURN)
-    The entry hears nothing, revokes, is told "never" and grants the request
-    elsewhere. Then the first grant arrives. Dispatched, it would be a second run.
+    The entry gets no reply, revokes, is answered "never" and grants the request
+    elsewhere. Then the first grant arrives; dispatching it would be a second run.
     Given a traced agent that joined at offset 5
     When the traced agent pulls
     And the grant of "r1" on its pull 1 is revoked
     And "r1" arrives on its pull 1
-    Then the traced agent said "Revoked never, Refused"
+    Then the traced agent answered "Revoked never, Refused"
     And "r1" was dispatched 0 times
 
   Scenario: A doubled grant of a run is answered with Granted (grant WITHOUT_DUPLICATE)
-    A refusal would tell the entry that the request, which runs, never did.
+    After a refusal the entry would assume that the running request never ran.
     Given a traced agent that joined at offset 5
     When the traced agent pulls
     And "r1" arrives on its pull 1
     And "r1" arrives on its pull 1
-    Then the traced agent said "Granted, Granted"
+    Then the traced agent answered "Granted, Granted"
     And "r1" was dispatched 1 times
 
   Scenario: A late copy doesn't repeat a dispatch that never started (grant WITHOUT_ONCE)
@@ -29,7 +29,7 @@
     And "r1" arrives on its pull 1
     And the upstream refuses the connection for "r1"
     And "r1" arrives on its pull 1
-    Then the traced agent said "Granted, Refused, Refused"
+    Then the traced agent answered "Granted, Refused, Refused"
     And "r1" was dispatched 1 times
 
   Scenario: A grant on an expired nonce is refused (grant WITHOUT_NONCE)
@@ -37,36 +37,36 @@
     When the traced agent pulls
     And 2 s pass at the traced agent
     And "r1" arrives on its pull 1
-    Then the traced agent said "Refused"
+    Then the traced agent answered "Refused"
     And "r1" was dispatched 0 times
 
   Scenario: A stamp below the join offset is refused (resend WITHOUT_STAMP)
-    A re-send elsewhere may have read the roster before this agent joined: it asked
-    every agent but this one for the key, and may run already.
+    A re-send elsewhere may have read the roster before this agent joined: it
+    claimed the key at every agent but this one, and may already run.
     Given a traced agent that joined at offset 5
     When the traced agent pulls
     And "r1" of key "k" arrives on its pull 1 with stamp 4
-    Then the traced agent said "Refused"
+    Then the traced agent answered "Refused"
     And "r1" was dispatched 0 times
 
   Scenario: An agent that hasn't joined runs nothing keyed (resend WITHOUT_JOIN_FIRST)
-    No roster names it, so no re-send would ask it for the key.
+    The roster does not name it, so no re-send would ask it for the key.
     Given a traced agent that has not joined
     When the traced agent pulls
     And "r1" of key "k" arrives on its pull 1 with stamp 5
-    Then the traced agent said "Refused"
+    Then the traced agent answered "Refused"
     And "r1" was dispatched 0 times
 
   Scenario: A claimed key refuses the first send's late grant, also when the claim is given back (resend WITHOUT_FENCE and WITHOUT_BURN)
-    The entry of the first send was told that its grant is refused. A copy of that
-    grant comes later, when the claim has been given back: it must stay refused.
+    The first send's grant was refused. A copy of it that arrives after the claim
+    was released must be refused too.
     Given a traced agent that joined at offset 5
     When the traced agent pulls
     And "r2" claims key "k"
     And "r1" of key "k" arrives on its pull 1 with stamp 5
-    And "r2" gives key "k" back
+    And "r2" releases its claim of key "k"
     And "r1" of key "k" arrives on its pull 1 with stamp 5
-    Then the traced agent said "Claimed r2, Refused, Refused"
+    Then the traced agent answered "Claimed r2, Refused, Refused"
     And "r1" was dispatched 0 times
 
   Scenario: A claim tells of the run of the first send (resend WITHOUT_CLAIM)
@@ -74,20 +74,20 @@
     When the traced agent pulls
     And "r1" of key "k" arrives on its pull 1 with stamp 5
     And "r2" claims key "k"
-    Then the traced agent said "Granted, Claimed r1"
+    Then the traced agent answered "Granted, Claimed r1"
 
   Scenario: Once its keys are handed over, an agent takes no claim (resend WITHOUT_STOP_FIRST)
-    The claim would be gone with the process, and the heir would promise the key to
-    another attempt: both would hold every claim.
+    The claim would be lost with the process, and the heir could accept another
+    attempt's claim of the key: both attempts would hold every claim.
     Given a traced agent that joined at offset 5
     When "r1" claims key "other"
     And the traced agent leaves and hands its keys over
     And "r2" claims key "k"
-    Then the traced agent said "Claimed r1"
+    Then the traced agent answered "Claimed r1"
 
   Scenario: A late refusal of an older grant frees nothing (grant WITHOUT_NONCE_NAMED)
     The request was refused on the first pull, granted again on the second and runs
-    there. A copy of the refusal comes late; the entry must not grant it elsewhere.
+    there. A late copy of the refusal must not make the entry grant it elsewhere.
     Given a traced entry that knows agents "a, b"
     When first send "r1" comes to the traced entry
     And agent "a" pulls from the traced entry on nonce "n1"
@@ -109,7 +109,8 @@
 
   Scenario Outline: A "<answer>" is believed only for a time (grant WITHOUT_HOLD)
     The entry was paused for longer than the ledger remembers a run that has ended.
-    A grant's late copy, or a revocation, then finds nothing: that isn't "never ran".
+    A late copy of the grant, or a revocation, then finds no run, which doesn't show
+    that the request never ran.
     Given a traced entry that knows agents "a, b"
     When first send "r1" comes to the traced entry
     And agent "a" pulls from the traced entry on nonce "n1"
@@ -125,9 +126,9 @@
       | Revoked never |
 
   Scenario: A dropped re-send is not told "not run" (resend WITHOUT_UNKNOWN_RESEND)
-    The re-send holds every claim and waits; nobody has run the key. It is dropped,
-    so its claims are given back. The first send, which still waits in another entry,
-    can then be granted: "not run" would have been false.
+    The re-send holds every claim and waits; the key has not run. When it is dropped,
+    its claims are released. The first send still waits in another entry and can be
+    granted: "not run" would have been false.
     Given a traced entry that knows agents "a, b"
     When re-send "r2" of key "k" comes to the traced entry
     And the traced entry reads the roster to offset 2
@@ -137,9 +138,9 @@
     And "r2" was told that it ran "unknown"
 
   Scenario: A first send whose key another attempt holds is not told "not run"
-    An agent refuses it because a re-send of the key got there first. It asks who
-    holds the key, and its time runs out before anyone answers. It did not run, but
-    the key may: its caller must not start over.
+    An agent refuses it because a re-send has claimed the key. Its deadline passes
+    before its own round of claims is answered. It did not run, but the key may:
+    its caller must not start over.
     Given a traced entry that knows agents "a, b"
     When keyed first send "r1" of key "k" comes to the traced entry
     And agent "a" pulls from the traced entry on nonce "n1"
@@ -165,8 +166,8 @@
     And "r2" was told that it ran "unknown"
 
   Scenario: A granted re-send that is given up keeps its claims (resend WITHOUT_UNGRANTED)
-    Its grant may still be under way. Were the claims given back, another attempt
-    could take them all and run, and then the late grant would run too.
+    Its grant may still be in flight. If the claims were released, another attempt
+    could claim the key everywhere and run, and the late grant would run too.
     Given a traced entry that knows agents "a, b"
     When re-send "r2" of key "k" comes to the traced entry
     And the traced entry reads the roster to offset 2
@@ -178,8 +179,8 @@
     And "r2" was told that it ran "unknown"
 
   Scenario: A dead agent's successor can't speak for its keys (resend WITHOUT_UPSTREAM_DOUBT)
-    What the dead one dispatched may still be on its way to the upstream, so that
-    neither the successor nor the upstream can say that the key never ran.
+    A request that the dead agent dispatched may still be in flight to the upstream,
+    so neither the successor nor the upstream can rule out that the key ran.
     Given a traced entry that knows agents "a, b"
     And agent "a" has a successor in the roster
     When re-send "r2" of key "k" comes to the traced entry
@@ -204,8 +205,8 @@
     Then the caller of "r1" was given "Head, 1, 2, AnswerBroken"
 
   Scenario: What comes back from a grant below a floor is dropped (shedding WITHOUT_PUT_BACK)
-    A peer sheds a higher tier, because nothing lower is kept anywhere. A granted
-    request of a lower tier that comes back must not wait again.
+    A peer sheds a higher tier because no lower one is kept at any entry. A granted
+    request of a lower tier that did not run must not be queued again.
     Given a traced entry that knows agents "a"
     When first send "r1" comes to the traced entry
     And agent "a" pulls from the traced entry on nonce "n1"
@@ -223,7 +224,7 @@
     And the traced entry holds the floor of its peer
 
   Scenario: An upstream that the platform calls leaving is granted nothing
-    Its agent may not know yet, or be dead with pulls still under way.
+    Its agent may not know yet, or be dead with pulls still in flight.
     Given a traced entry that knows agents "a, b"
     When the platform calls agent "a" leaving
     And first send "r1" comes to the traced entry
--- a/features/modeltraces.py
+++ b/features/modeltraces.py
@@ -1,4 +1,4 @@
-"""One agent's or one entry's core, driven along a trace by hand."""
+"""Drives the core of one agent or entry with the events of a trace."""
 
 import itertools
 from random import Random
@@ -30,20 +30,20 @@
 
 @attrs.define(kw_only=True)
 class Trace:
-    """A core, the time, and all that it has asked to be done."""
+    """A core, the current time and all actions that it has returned."""
 
     core: AgentCore | EntryCore
     now_s: float = 0.0
     actions: list = attrs.field(factory=list)
 
     def feed(self, event: object) -> list:
-        """Give the core an event; return what it asks for."""
+        """Pass an event to the core; return its actions."""
         done = self.core.handle(event, self.now_s)
         self.actions += done
         return done
 
-    def hear(self, message, sender: InstanceId = ENTRY) -> list:
-        """Let a message arrive; return the messages it sends."""
+    def receive(self, message, sender: InstanceId = ENTRY) -> list:
+        """Deliver a message; return the messages that the core sends."""
         done = self.feed(Received(sender=sender, message=message))
         return [action.message for action in done if isinstance(action, Send)]
 
@@ -64,14 +64,14 @@
         dispatches = [each for each in self.actions if isinstance(each, Dispatch)]
         return sum(each.call.request_id == request_id for each in dispatches)
 
-    def told(self, request_id: str) -> list:
-        """Return the parts of a request's answer."""
+    def reply_parts(self, request_id: str) -> list:
+        """Return the parts of the reply to a request."""
         replies = [each for each in self.actions if isinstance(each, Reply)]
         return [each.part for each in replies if each.request_id == request_id]
 
 
 def make_agent(join_offset: int | None) -> Trace:
-    """Return an agent with 9 slots that knows the entry; None: hasn't joined."""
+    """Return an agent with 9 slots that knows the entry; None: not joined."""
     ids = itertools.count(1)
     core = AgentCore(
         identity=AgentIdentity(
@@ -90,12 +90,12 @@
     if join_offset is not None:
         trace.feed(Joined(join_offset=join_offset, since_s=0.0))
     announce = messages.EntryAnnounce(address="e", data_centre="d")
-    trace.hear(announce)
+    trace.receive(announce)
     return trace
 
 
-def who(name: str) -> dict[str, str]:
-    """Return what an agent says of itself in all its lives."""
+def agent_fields(name: str) -> dict[str, str]:
+    """Return the fields that all incarnations of an agent share."""
     return {
         "service": SERVICE.name,
         "upstream": f"up {name}",
@@ -106,12 +106,12 @@
 
 def join(trace: Trace, agent: InstanceId, offset: int) -> None:
     """Let an entry read an agent's join record."""
-    record = Join(agent=agent, **who(agent.name))
+    record = Join(agent=agent, **agent_fields(agent.name))
     trace.feed(RosterRecord(offset=offset, payload=encode(record)))
 
 
 def make_entry(agents: list[str]) -> Trace:
-    """Return an entry that has heard of these agents and their join records."""
+    """Return an entry that knows these agents and their join records."""
     ids = itertools.count(1)
     core = EntryCore(
         identity=EntryIdentity(me=ENTRY, address="e", data_centre="d"),
@@ -123,21 +123,21 @@
     trace.feed(DocumentInForce(service=SERVICE, version=1))
     for offset, name in enumerate(agents, start=1):
         join(trace, agent_id(name), offset)
-        announce = messages.Announce(join_offset=offset, **who(name))
-        trace.hear(announce, agent_id(name))
+        announce = messages.Announce(join_offset=offset, **agent_fields(name))
+        trace.receive(announce, agent_id(name))
     trace.feed(RosterReached(offset=len(agents)))
     return trace
 
 
-def keyed(request_id: str, key: str | None):
-    """Return a call, of a key if one is given."""
+def make_keyed_call(request_id: str, key: str | None):
+    """Return a call, keyed if a key is given and idempotent otherwise."""
     call = make_call(request_id)
     return attrs.evolve(call, key=key, idempotent=key is None)
 
 
-def arrival(request_id: str, key: str | None, sending: Sending) -> Arrived:
+def make_arrival(request_id: str, key: str | None, sending: Sending) -> Arrived:
     """Return the arrival of a caller's request."""
-    call = keyed(request_id, key)
+    call = make_keyed_call(request_id, key)
     return Arrived(
         arrival=Arrival(call=call, sending=sending, deadline_in_s=DEADLINE_S)
     )
--- a/features/properties.feature
+++ b/features/properties.feature
@@ -8,8 +8,8 @@
 
   Scenario: Requests without a key
     Grants, refusals, revokes and pieces are lost, doubled and late; entries and
-    agents are paused and restarted; upstreams refuse and break. An entry that
-    is in doubt asks, and never dispatches again what may have run.
+    agents are paused and restarted; upstreams refuse and break. An entry
+    that is in doubt queries the agent, and never grants again what may have run.
     Then no promise to unkeyed requests is broken in any of 250 runs
 
   Scenario: Keys sent again while agents join, leave and die
@@ -50,17 +50,17 @@
 
   Scenario: An agent renews its roster record after its lease
     An agent can't reach the log for longer than its lease and a key's lifetime,
-    so the roster has forgotten it. A re-send doesn't ask it for the key and runs
-    elsewhere. Back in the roster, the agent must refuse the first send, which
-    was stamped before that: it once ran the key again.
+    so the roster no longer names it. A re-send doesn't ask it for the key and runs
+    elsewhere. Once back in the roster, the agent must refuse the first send, whose
+    stamp is older: it once ran the key again.
     Then no promise is broken by these choices with short-lived keys
       """
       cut_log 2, jump 1, jump 2, flow 0, flow 1, send_first 1, send_again 1
       """
 
   Scenario: A floor above two tiers reaches the entries one after the other
-    An entry full of the highest tier asks for room. A peer that heard of it
-    dropped the tier between, while another, which hadn't heard, kept the lowest.
+    An entry full of the highest tier requests a floor. The peer that received it
+    dropped the middle tier, while another, not yet reached, kept the lowest.
     Then no tier is shed before a lower one by these choices
       """
       send_some 1, local 0, send_some 14, send_some 1, send_some 9, send_some 14,
@@ -70,6 +70,6 @@
   Scenario: A request refused for its key comes back below a floor
     A keyed request of the lowest tier was granted when a peer's floor came. The
     agent refuses it for its stamp. It must not claim its key and wait again: the
-    peer sheds a higher tier in the belief that nothing lower waits.
+    peer sheds a higher tier on the assumption that no lower one waits.
     When a granted keyed request is refused for its stamp below a peer's floor
     Then its caller is told that it was shed and may have run elsewhere
--- a/features/steps/affinity_steps.py
+++ b/features/steps/affinity_steps.py
@@ -104,9 +104,9 @@
     call = make_call(f"r{context.answers}")
     call = attrs.evolve(call, prefix_hashes=block_names(blocks))
     demand = messages.Demand(service=call.service, waiting={call.tier: 1})
-    pull = context.trace.hear(demand)[-1]
+    pull = context.trace.receive(demand)[-1]
     grant = messages.Grant(nonce=pull.nonce, call=call, stamp=1, deadline_in_s=9.0)
-    context.trace.hear(grant)
+    context.trace.receive(grant)
     context.trace.feed(RunBody(request_id=call.request_id, body=b"x"))
     context.trace.feed(RunEnded(request_id=call.request_id))
 
--- a/features/steps/model_traces_steps.py
+++ b/features/steps/model_traces_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive one core along a trace of a model."""
+"""Steps that replay a model's counterexample on one core."""
 
 from behave import given, then, when
 
@@ -6,11 +6,11 @@
     DEADLINE_S,
     SERVICE,
     agent_id,
-    arrival,
     join,
-    keyed,
     make_agent,
+    make_arrival,
     make_entry,
+    make_keyed_call,
 )
 from lavenderspoke import messages
 from lavenderspoke.agentevents import (
@@ -55,8 +55,8 @@
     context.answers = []
 
 
-def hear(context, message) -> None:
-    for answer in context.trace.hear(message):
+def receive(context, message) -> None:
+    for answer in context.trace.receive(message):
         if isinstance(answer, ANSWERS):
             context.answers.append(answer)
 
@@ -67,17 +67,17 @@
 
 @when("the traced agent pulls")
 def step_pulls(context):
-    hear(context, messages.Demand(service=SERVICE.name, waiting={2: 5}))
+    receive(context, messages.Demand(service=SERVICE.name, waiting={2: 5}))
 
 
 def grant(context, request_id, number, key=None, stamp=0) -> None:
     message = messages.Grant(
         nonce=nonce(context, number),
-        call=keyed(request_id, key),
+        call=make_keyed_call(request_id, key),
         stamp=stamp,
         deadline_in_s=10.0,
     )
-    hear(context, message)
+    receive(context, message)
 
 
 @when('"{request_id}" arrives on its pull {number:d}')
@@ -93,7 +93,7 @@
 @when('the grant of "{request_id}" on its pull {number:d} is revoked')
 def step_revoke(context, request_id, number):
     value = nonce(context, number)
-    hear(context, messages.Revoke(request_id=request_id, nonce=value))
+    receive(context, messages.Revoke(request_id=request_id, nonce=value))
 
 
 @when('the upstream refuses the connection for "{request_id}"')
@@ -113,12 +113,12 @@
 @when('"{request_id}" claims key "{key}"')
 def step_claim(context, request_id, key):
     message = messages.Claim(key=key, request_id=request_id, round=1, lifetime_s=KEY_S)
-    hear(context, message)
+    receive(context, message)
 
 
-@when('"{request_id}" gives key "{key}" back')
+@when('"{request_id}" releases its claim of key "{key}"')
 def step_unclaim(context, request_id, key):
-    hear(context, messages.Unclaim(key=key, request_id=request_id, round=1))
+    receive(context, messages.Unclaim(key=key, request_id=request_id, round=1))
 
 
 @when("the traced agent is told to stop")
@@ -156,7 +156,9 @@
     context.trace.feed(LeaveWanted())
     context.trace.feed(HeirFound(heir=agent_id("heir")))
     (part,) = context.trace.sent(messages.LedgerHandover)
-    context.trace.hear(messages.LedgerTaken(part=part.message.part), agent_id("heir"))
+    context.trace.receive(
+        messages.LedgerTaken(part=part.message.part), agent_id("heir")
+    )
 
 
 def describe(message) -> str:
@@ -168,7 +170,7 @@
     return name
 
 
-@then('the traced agent said "{answers}"')
+@then('the traced agent answered "{answers}"')
 def step_said(context, answers):
     assert [describe(each) for each in context.answers] == split(
         answers
@@ -196,17 +198,17 @@
 
 @when('first send "{request_id}" comes to the traced entry')
 def step_first_send(context, request_id):
-    context.trace.feed(arrival(request_id, None, Sending.FIRST))
+    context.trace.feed(make_arrival(request_id, None, Sending.FIRST))
 
 
 @when('keyed first send "{request_id}" of key "{key}" comes to the traced entry')
 def step_keyed_first_send(context, request_id, key):
-    context.trace.feed(arrival(request_id, key, Sending.FIRST))
+    context.trace.feed(make_arrival(request_id, key, Sending.FIRST))
 
 
 @when('re-send "{request_id}" of key "{key}" comes to the traced entry')
 def step_resend(context, request_id, key):
-    context.trace.feed(arrival(request_id, key, Sending.RESEND))
+    context.trace.feed(make_arrival(request_id, key, Sending.RESEND))
 
 
 def read_ids(context) -> tuple[str, ...]:
@@ -234,13 +236,13 @@
             holder=request_id,
             standing=Standing.CLAIMED,
         )
-        context.trace.hear(message, agent_id(name))
+        context.trace.receive(message, agent_id(name))
 
 
 @when("a peer of the traced entry announces a floor at tier {tier:d}")
 def step_floor(context, tier):
     floor = messages.Floor(service=SERVICE.name, tier=tier, round=1, lease_s=2.0)
-    context.trace.hear(floor, PEER)
+    context.trace.receive(floor, PEER)
 
 
 @when('the platform calls agent "{name}" leaving')
@@ -253,7 +255,7 @@
     pull = messages.Pull(
         service=SERVICE.name, nonce=value, slots=1, ttl_s=0.5, rank_min=1
     )
-    context.trace.hear(pull, agent_id(name))
+    context.trace.receive(pull, agent_id(name))
 
 
 @when('agent "{name}" refuses "{request_id}" on nonce "{value}"')
@@ -267,7 +269,7 @@
     refused = messages.Refused(
         request_id=request_id, nonce=granted.nonce, reason="key_held"
     )
-    context.trace.hear(refused, agent_id(name))
+    context.trace.receive(refused, agent_id(name))
 
 
 @when('agent "{name}" answers "{said}" for "{request_id}" on nonce "{value}"')
@@ -281,7 +283,7 @@
     )
     if said == "Refused":
         message = messages.Refused(request_id=request_id, nonce=value, reason="nonce")
-    context.trace.hear(message, agent_id(name))
+    context.trace.receive(message, agent_id(name))
 
 
 @when("the traced entry is paused for {seconds:d} s")
@@ -328,7 +330,7 @@
 
 @then('"{request_id}" was told that it ran "{ran}"')
 def step_told(context, request_id, ran):
-    told = context.trace.told(request_id)
+    told = context.trace.reply_parts(request_id)
     assert [problem.ran.value for problem in told] == [ran], told
 
 
@@ -336,7 +338,7 @@
 def step_pieces(context, numbers, request_id, name):
     last = 1 + max(int(each) for each in split(numbers) if each.isdigit())
     for each in split(numbers):
-        context.trace.hear(
+        context.trace.receive(
             messages.Pieces(pieces=(make_piece(request_id, each, last),)),
             agent_id(name),
         )
@@ -355,7 +357,7 @@
 
 @then('the caller of "{request_id}" was given "{parts}"')
 def step_given(context, request_id, parts):
-    told = context.trace.told(request_id)
+    told = context.trace.reply_parts(request_id)
     assert [
         part.body.decode() if isinstance(part, AnswerBody) else type(part).__name__
         for part in told
--- a/lavenderspoke/membership/roster.py
+++ b/lavenderspoke/membership/roster.py
@@ -119,11 +119,11 @@
         self.offset = max(self.offset, offset)
 
     def _join(self, join: Join, offset: int, now_s: float) -> None:
-        life = self._incarnations.get(join.agent)
-        if life is not None:
-            life.last_heard_s = now_s
+        incarnation = self._incarnations.get(join.agent)
+        if incarnation is not None:
+            incarnation.last_heard_s = now_s
             return
-        life = AgentIncarnation(
+        incarnation = AgentIncarnation(
             agent=join.agent,
             service=join.service,
             upstream=join.upstream,
@@ -131,24 +131,26 @@
             join_offset=offset if join.join_offset is None else join.join_offset,
             last_heard_s=now_s,
         )
-        self._incarnations[join.agent] = life
+        self._incarnations[join.agent] = incarnation
         self._mark_superseded(join.agent.name)
 
     def _mark_superseded(self, name: str) -> None:
         # Renewals may come in any order: the highest join offset is current.
-        lives = [
-            life for life in self._incarnations.values() if life.agent.name == name
+        incarnations = [
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.agent.name == name
         ]
-        newest = max(life.join_offset for life in lives)
-        for life in lives:
-            life.superseded = life.join_offset < newest
+        newest = max(incarnation.join_offset for incarnation in incarnations)
+        for incarnation in incarnations:
+            incarnation.superseded = incarnation.join_offset < newest
 
     def _leave(self, leave: Leave, now_s: float) -> None:
-        life = self._incarnations.get(leave.agent)
-        if life is not None:
-            life.left = True
-            life.heir = leave.heir
-            life.last_heard_s = now_s
+        incarnation = self._incarnations.get(leave.agent)
+        if incarnation is not None:
+            incarnation.left = True
+            incarnation.heir = leave.heir
+            incarnation.last_heard_s = now_s
 
     def get(self, agent: InstanceId) -> AgentIncarnation | None:
         """Return the state of an incarnation, or None if it is unknown."""
@@ -167,17 +169,23 @@
         horizon_s = now_s - self.lease_s - key_lifetime_s
         expired = [
             key
-            for key, life in self._incarnations.items()
-            if life.last_heard_s < horizon_s
+            for key, incarnation in self._incarnations.items()
+            if incarnation.last_heard_s < horizon_s
         ]
         for key in expired:
             del self._incarnations[key]
-        return [life for life in self._incarnations.values() if life.service == service]
+        return [
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.service == service
+        ]
 
     def alive(self, service: str) -> list[AgentIncarnation]:
         """Return the incarnations that have neither left nor been superseded."""
         return [
-            life
-            for life in self._incarnations.values()
-            if life.service == service and not life.left and not life.superseded
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.service == service
+            and not incarnation.left
+            and not incarnation.superseded
         ]
--- a/lavenderspoke/resend.py
+++ b/lavenderspoke/resend.py
@@ -58,14 +58,14 @@
     _ask_s: float = 0.0
 
     def roster_read(
-        self, lives: list[AgentIncarnation], offset: int, now_s: float
+        self, incarnations: list[AgentIncarnation], offset: int, now_s: float
     ) -> list[Send]:
         """Send claims for the incarnations in the roster as read to `offset`."""
         self.stamp = offset
         self.asked = set()
-        known = {life.agent: life for life in lives}
-        for life in lives:
-            target = find_answerer(life, known)
+        known = {incarnation.agent: incarnation for incarnation in incarnations}
+        for incarnation in incarnations:
+            target = find_answerer(incarnation, known)
             if target is None:
                 self._unreachable = True
             elif target is not NO_ANSWERER:
@@ -137,7 +137,7 @@
 
 
 def find_answerer(
-    life: AgentIncarnation, known: dict[InstanceId, AgentIncarnation]
+    incarnation: AgentIncarnation, known: dict[InstanceId, AgentIncarnation]
 ) -> InstanceId | None:
     """Return the agent that answers for an incarnation's keys, None if there is none.
 
@@ -145,11 +145,11 @@
     of one that was superseded without leaving are lost.
     """
     seen = set()
-    while life.left:
-        if life.heir is None:
+    while incarnation.left:
+        if incarnation.heir is None:
             return NO_ANSWERER
-        if life.heir in seen or life.heir not in known:
+        if incarnation.heir in seen or incarnation.heir not in known:
             return None
-        seen.add(life.heir)
-        life = known[life.heir]
-    return None if life.superseded else life.agent
+        seen.add(incarnation.heir)
+        incarnation = known[incarnation.heir]
+    return None if incarnation.superseded else incarnation.agent
