--- a/features/httpplatform.feature
+++ b/features/httpplatform.feature
@@ -39,7 +39,7 @@
     And after the outage the stream "services" holds ""
 
   Scenario: Too many appends in a time
-    Given the log takes 1 append an hour
+    Given the log accepts 1 append per hour
     When "a" is appended to the stream "services"
     And "b" is appended to the stream "services"
     Then the append's error is LogUnavailable
@@ -49,7 +49,7 @@
     And a corrupt record is appended to the stream "services"
     And "b" is appended to the stream "services"
     Then the stream "services" from offset 0 holds "a,b"
-    And offset 2 of it is given as corrupt
+    And offset 2 of it is reported as corrupt
 
   Scenario: Records past retention are gone, and the reader can tell
     Given the log keeps 2 records
@@ -68,7 +68,7 @@
     Then the member list reads "e1"
     When it lags and is set to the members "e1,e2"
     Then the member list reads "e1"
-    When it lags no more
+    When it stops lagging
     Then the member list reads "e1,e2"
 
   Scenario: The member list is down
--- a/features/model_traces.feature
+++ b/features/model_traces.feature
@@ -118,7 +118,7 @@
     And agent "a" answers "<answer>" for "r1" on nonce "n1"
     And agent "b" pulls from the traced entry on nonce "n2"
     Then "r1" was granted to "a"
-    And "r1" was told that it ran "unknown"
+    And "r1" was answered with ran "unknown"
 
     Examples:
       | answer        |
@@ -134,8 +134,8 @@
     And the traced entry reads the roster to offset 2
     And agents "a, b" grant the claim of "r2" on key "k"
     And the caller's time for "r2" runs out
-    Then "a, b" were given the claim of "r2" back
-    And "r2" was told that it ran "unknown"
+    Then "a, b" were sent the release of the claim of "r2"
+    And "r2" was answered with ran "unknown"
 
   Scenario: A first send whose key another attempt holds is not told "not run"
     An agent refuses it because a re-send has claimed the key. Its deadline passes
@@ -146,7 +146,7 @@
     And agent "a" pulls from the traced entry on nonce "n1"
     And agent "a" finds that another attempt holds the key of "r1"
     And the caller's time for "r1" runs out
-    Then "r1" was told that it ran "unknown"
+    Then "r1" was answered with ran "unknown"
 
   Scenario: A re-send is granted only when every agent of the roster has answered (resend WITHOUT_ALL_INCARNATIONS)
     Given a traced entry that knows agents "a, b"
@@ -156,14 +156,14 @@
     And agent "a" pulls from the traced entry on nonce "n1"
     And 3 s pass at the traced entry
     Then "r2" was granted to ""
-    And "r2" was told that it ran "unknown"
+    And "r2" was answered with ran "unknown"
 
   Scenario: A roster that can't be read makes a re-send unknown (resend WITHOUT_FRESH_READ)
     Given a traced entry that knows agents "a, b"
     When re-send "r2" of key "k" comes to the traced entry
     And the traced entry can't read the roster
     Then "r2" was granted to ""
-    And "r2" was told that it ran "unknown"
+    And "r2" was answered with ran "unknown"
 
   Scenario: A granted re-send that is given up keeps its claims (resend WITHOUT_UNGRANTED)
     Its grant may still be in flight. If the claims were released, another attempt
@@ -175,8 +175,8 @@
     And agent "a" pulls from the traced entry on nonce "n1"
     And the caller's time for "r2" runs out
     Then "r2" was granted to "a"
-    And "" were given the claim of "r2" back
-    And "r2" was told that it ran "unknown"
+    And "" were sent the release of the claim of "r2"
+    And "r2" was answered with ran "unknown"
 
   Scenario: A dead agent's successor can't speak for its keys (resend WITHOUT_UPSTREAM_DOUBT)
     A request that the dead agent dispatched may still be in flight to the upstream,
@@ -187,7 +187,7 @@
     And the traced entry reads the roster to offset 3
     And agents "b, a" grant the claim of "r2" on key "k"
     Then "r2" was granted to ""
-    And "r2" was told that it ran "unknown"
+    And "r2" was answered with ran "unknown"
 
   Scenario: Pieces come late, doubled and out of order
     The caller gets each part once, in order, and then the end.
@@ -212,15 +212,15 @@
     And agent "a" pulls from the traced entry on nonce "n1"
     And a peer of the traced entry announces a floor at tier 3
     And agent "a" refuses "r1" on nonce "n1"
-    Then "r1" was told that it ran "no"
+    Then "r1" was answered with ran "no"
 
   Scenario: A peer drops what is below a floor before it says so (shedding WITHOUT_DROPPING)
     Given a traced entry that knows agents "a"
     When first send "r1" comes to the traced entry
     And a peer of the traced entry announces a floor at tier 3
     And first send "r2" comes to the traced entry
-    Then "r1" was told that it ran "no"
-    And "r2" was told that it ran "no"
+    Then "r1" was answered with ran "no"
+    And "r2" was answered with ran "no"
     And the traced entry holds the floor of its peer
 
   Scenario: An upstream that the platform calls leaving is granted nothing
@@ -248,4 +248,4 @@
     And "r1" of key "k" arrives on its pull 1 with stamp 5
     And the traced agent is told to stop
     And 10 s pass at the traced agent
-    Then the traced agent looks for no heir yet
+    Then the traced agent has not looked for an heir yet
--- a/features/steps/httpplatform_steps.py
+++ b/features/steps/httpplatform_steps.py
@@ -44,7 +44,7 @@
     context.log_standin.process.kill()
 
 
-@given("the log takes {count:d} append an hour")
+@given("the log accepts {count:d} append per hour")
 def step_log_rate(context, count):
     context.log_standin.set_faults(appends_max=count, appends_window_s=3600)
 
@@ -115,7 +115,7 @@
     step_holds_after(context, stream, "")
 
 
-@then("offset {offset:d} of it is given as corrupt")
+@then("offset {offset:d} of it is reported as corrupt")
 def step_corrupt_offset(context, offset):
     assert context.page.corrupt_offsets == (offset,), context.page
 
@@ -147,7 +147,7 @@
     set_members(context, names)
 
 
-@when("it lags no more")
+@when("it stops lagging")
 def step_members_no_lag(context):
     context.members_standin.set_faults(hold=False)
 
--- a/features/steps/model_traces_steps.py
+++ b/features/steps/model_traces_steps.py
@@ -126,7 +126,7 @@
     context.trace.feed(LeaveWanted())
 
 
-@then("the traced agent looks for no heir yet")
+@then("the traced agent has not looked for an heir yet")
 def step_no_heir_yet(context):
     sought = [each for each in context.trace.actions if isinstance(each, FindHeir)]
     assert not sought
@@ -321,14 +321,14 @@
     assert {each.message.request_id for each in revokes} == {request_id}
 
 
-@then('"{names}" were given the claim of "{request_id}" back')
-@then('"" were given the claim of "{request_id}" back')
+@then('"{names}" were sent the release of the claim of "{request_id}"')
+@then('"" were sent the release of the claim of "{request_id}"')
 def step_given_back(context, request_id, names=""):
     unclaims = context.trace.sent(messages.Unclaim)
     assert sorted(each.recipient.name for each in unclaims) == split(names)
 
 
-@then('"{request_id}" was told that it ran "{ran}"')
+@then('"{request_id}" was answered with ran "{ran}"')
 def step_told(context, request_id, ran):
     told = context.trace.reply_parts(request_id)
     assert [problem.ran.value for problem in told] == [ran], told
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -36,7 +36,7 @@
     context.picks = pick(context)
 
 
-@when("one entry goes")
+@when("one entry is removed")
 def step_goes(context):
     context.gone = context.entries.pop(7).name
     context.before, context.picks = context.picks, pick(context)
@@ -68,7 +68,7 @@
             assert set(picked) == set(context.picks[agent]), agent
 
 
-@then("every agent with it has exchanged just that one")
+@then("every agent with it has replaced only that one")
 def step_exchanged(context):
     for agent, picked in context.before.items():
         if context.gone in picked:
--- a/features/subset.feature
+++ b/features/subset.feature
@@ -7,9 +7,9 @@
 
   Scenario: An entry that goes changes only the picks that named it
     Given 40 entries in 4 data centres and 400 agents that pick 8 each
-    When one entry goes
+    When one entry is removed
     Then no agent without it has changed its picks
-    And every agent with it has exchanged just that one
+    And every agent with it has replaced only that one
 
   Scenario: A few entries are all picked
     Given 3 entries in 2 data centres and 10 agents that pick 8 each
--- a/lavenderspoke/entrycore.py
+++ b/lavenderspoke/entrycore.py
@@ -390,17 +390,19 @@
     def _enqueue(self, tracked: TrackedRequest, now_s: float) -> list:
         state = self.services[tracked.call.service]
         tracked.phase = Phase.WAITING
-        warm = state.enqueue(tracked, now_s)
-        return self._offer(state, tracked, warm, now_s)
+        cached_tokens = state.enqueue(tracked, now_s)
+        return self._offer(state, tracked, cached_tokens, now_s)
 
-    def _offer(self, state, tracked, warm: dict[str, int], now_s: float) -> list:
+    def _offer(
+        self, state, tracked, cached_tokens: dict[str, int], now_s: float
+    ) -> list:
         agents = self.agents.for_service(state.service.name)
         is_short = state.is_full() or self.dropper.is_near_limit()
         actions = self.dropper.shed_excess(state, now_s) if is_short else []
         if self._policy.dispatching is not Dispatching.PULL:
             return actions + self._push(state, agents, now_s)
         return actions + state.demand.on_arrival(
-            tracked.call, warm, state.queue, agents, now_s
+            tracked.call, cached_tokens, state.queue, agents, now_s
         )
 
     @_on_event.register
@@ -488,8 +490,8 @@
             ]
         if is_below:
             return [counted, self.dropper.finish_with(tracked.request_id, Reason.SHED)]
-        warm = state.requeue(tracked, now_s)
-        return [counted, *self._offer(state, tracked, warm, now_s)]
+        cached_tokens = state.requeue(tracked, now_s)
+        return [counted, *self._offer(state, tracked, cached_tokens, now_s)]
 
     # Messages from agents and other entries
 
--- a/lavenderspoke/following.py
+++ b/lavenderspoke/following.py
@@ -99,12 +99,20 @@
         if standing is Standing.FAILED:
             return [self._fail(tracked, "the answer can't be completed", Ran.UNKNOWN)]
         if standing is Standing.UNKNOWN and tracked.phase is Phase.RUNNING:
-            return [self._fail(tracked, "the agent does not know it", Ran.UNKNOWN)]
+            return [
+                self._fail(tracked, "the agent has no record of the run", Ran.UNKNOWN)
+            ]
         return []
 
     def _on_never_ran(self, tracked: TrackedRequest, reason: str, now_s: float) -> list:
         if now_s - tracked.granted_s > NEVER_RAN_TRUST_S:
-            return [self._fail(tracked, "asked too late", Ran.UNKNOWN)]
+            return [
+                self._fail(
+                    tracked,
+                    "the agent's reply came too late to be trusted",
+                    Ran.UNKNOWN,
+                )
+            ]
         return [DidNotRun(request_id=tracked.request_id, reason=reason)]
 
     @receive.register
@@ -228,7 +236,7 @@
             if not tracked.is_with_agent or tracked.agent.name != new.name:
                 continue
             if not can_resume:
-                detail = "the agent died; the upstream can't be asked"
+                detail = "the agent died; the upstream can't resume runs"
                 actions.append(self._fail(tracked, detail, Ran.UNKNOWN))
                 continue
             tracked.agent = new
--- a/lavenderspoke/keyclaims.py
+++ b/lavenderspoke/keyclaims.py
@@ -84,16 +84,16 @@
             tracked.claimed = True
             tracked.stamp = tracked.claim_round.stamp
             return ClaimStep(actions=[counted], may_wait=True)
-        returned = tracked.claim_round.release()
+        released = tracked.claim_round.release()
         if outcome.result is ClaimResult.RAN:
-            return ClaimStep(actions=[counted, *returned], found=outcome)
+            return ClaimStep(actions=[counted, *released], found=outcome)
         if outcome.result is ClaimResult.UNKNOWN and is_first(tracked):
             # It holds no grant, so it may wait for an agent that accepts its
             # original stamp. With the later stamp it could reach an agent that a
             # re-send didn't have to ask, and run a second time.
             tracked.stamp = tracked.first_stamp
             tracked.requeue_at_s = now_s + REQUEUE_DELAY_S
-            return ClaimStep(actions=[counted, *returned])
+            return ClaimStep(actions=[counted, *released])
         return ClaimStep(actions=[counted, self._refusal(tracked, outcome)])
 
     def _refusal(self, tracked: TrackedRequest, outcome: ClaimOutcome) -> Finish:
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -68,23 +68,25 @@
 
     def enqueue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
         """Queue a request; return its cached tokens by upstream."""
-        warm = self.cached_tokens(tracked)
-        self.queue.add(self._waiting(tracked, warm), now_s)
-        return warm
+        cached_tokens = self.cached_tokens(tracked)
+        self.queue.add(self._waiting(tracked, cached_tokens), now_s)
+        return cached_tokens
 
     def requeue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
         """Queue again a request that was granted and did not run."""
-        warm = self.cached_tokens(tracked)
-        self.queue.requeue(self._waiting(tracked, warm), now_s)
-        return warm
+        cached_tokens = self.cached_tokens(tracked)
+        self.queue.requeue(self._waiting(tracked, cached_tokens), now_s)
+        return cached_tokens
 
-    def _waiting(self, tracked: TrackedRequest, warm: dict[str, int]) -> WaitingRequest:
+    def _waiting(
+        self, tracked: TrackedRequest, cached_tokens: dict[str, int]
+    ) -> WaitingRequest:
         return WaitingRequest(
             call=tracked.call,
             arrived_s=tracked.arrived_s,
             deadline_s=tracked.deadline_s,
             stamp=tracked.stamp,
-            cached_tokens=warm,
+            cached_tokens=cached_tokens,
         )
 
     def retry_after_s(self, rank: int, now_s: float) -> float:
@@ -136,7 +138,7 @@
     def answer_pull(
         self, pull: Pull, view: AgentView, now_s: float
     ) -> tuple[list[Grant], PullDone]:
-        """Dequeue and grant requests, at most as many as the agent's slots."""
+        """Dequeue and grant at most `pull.slots` requests."""
         grants = []
         while len(grants) < pull.slots:
             request = self._dequeue(pull.rank_min, view, now_s)
