--- a/features/atmostonce.feature
+++ b/features/atmostonce.feature
@@ -121,7 +121,7 @@
   Scenario: An agent joins while the log can be read by itself alone
     The new agent is in the roster, but the log goes down before the entry has
     read that far. The new agent refuses the payments for their stamps; the old
-    one takes them when it has room, since its own join was read before.
+    one runs them when it has free slots, since its own join was read before.
     Given two proxied entries before a payment service with 4 slots
     And each payment takes 1 s
     When the entries can't reach the log
@@ -147,9 +147,9 @@
     And no promise is broken
 
   Scenario: A payment is sent again while another agent could run it
-    The first send runs at one agent; its entry is killed. The other agent has
-    room and knows nothing of the key, so only the claim at the first one tells
-    the re-send that the payment runs.
+    The first send runs at one agent; its entry is killed. The other agent has a
+    free slot and doesn't know the key, so the re-send learns that the payment runs
+    only from its claim at the first one.
     Given two entries before two payment services
     And each payment takes 2 s
     When payment "a" is sent through entry-1 with key "ka"
@@ -165,7 +165,7 @@
     at the one agent there is, and waits too. Then an agent joins, which the
     re-send did not ask. When the paused entry wakes, the new agent refuses the
     first send for its stamp: otherwise both would run. The payment before lasts until
-    the agent has joined, which takes 3 s beside much load.
+    the agent has joined, which takes 3 s under high load.
     Given two entries before a payment service with 1 slot
     And each payment takes 12 s
     When payment "a" is sent through entry-2 with key "ka"
@@ -200,7 +200,7 @@
 
   Scenario: An agent that could not join runs no keyed payment
     The log is down when the agent starts, so no re-send would know to ask it.
-    It runs what has no key, and refuses what has one until it has joined.
+    It runs requests without a key and refuses keyed ones until it has joined.
     Given two entries before a payment service with 1 slot
     When the log goes down
     And agent-q starts with a payment service of its own
@@ -226,8 +226,8 @@
 
   Scenario: A payment lies unread in a paused entry while its re-send runs
     The caller's bytes reach the entry's machine, but the paused entry reads them
-    only when it wakes. By then the re-send has run elsewhere, and an agent has
-    joined that knows nothing of it and alone has room. The entry notices its
+    only when it wakes. By then the re-send has run elsewhere, and the only agent
+    with a free slot has joined since and knows nothing of it. The entry notices its
     own pause and has the key claimed, which finds the run.
     Given two entries before a payment service with 1 slot
     And each payment takes 6 s
--- a/features/properties.feature
+++ b/features/properties.feature
@@ -1,10 +1,10 @@
 Feature: Properties of the cores under any order of messages
   Entry and agent cores share one process and one manual time. Which message is
-  delivered next, doubled or lost, who is paused or restarted and how long time
-  goes on is chosen by a seeded generator. After every step: a request runs at
-  most once, "not run" is never said of one that runs, a caller's parts come in
-  order with one final part, and nobody who leaves dispatches. In the end every
-  fault is healed, and every caller whose entry lived has its final part.
+  delivered next, duplicated or lost, which daemon is paused or restarted and how far
+  time advances is chosen by a seeded generator. After every step: a request runs at
+  most once, "not run" is never reported for one that ran, a caller's parts arrive in
+  order with one final part, and no leaving agent dispatches. At the end all faults
+  are cleared, and every caller whose entry survived has its final part.
 
   Scenario: Requests without a key
     Grants, refusals, revokes and pieces are lost, doubled and late; entries and
@@ -16,7 +16,7 @@
     A key is sent once, then again through any entry, while the log is cut for
     some daemons, appends are lost, agents hand their keys over and new ones
     join. The first attempt may still wait in a paused entry. Within its
-    lifetime a key runs once over all agents.
+    lifetime a key runs once across all agents.
     Then no promise to keyed requests is broken in any of 400 runs
 
   Scenario: Keys that outlive the agents that ran them
@@ -26,8 +26,8 @@
     Then no promise to handed over keys is broken in any of 250 runs
 
   Scenario: Keys and leases that end
-    Keys live for little longer than the longest deadline and roster leases for
-    seconds, so claims, holds and roster records lapse while requests wait. A key
+    Keys live slightly longer than the longest deadline and roster leases a few
+    seconds, so claims, holds and roster records expire while requests wait. A key
     may run again only after its lifetime.
     Then no promise to short-lived keys is broken in any of 250 runs
 
--- a/features/steps/properties_steps.py
+++ b/features/steps/properties_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what holds under any order of messages."""
+"""Steps that check invariants under any order of messages."""
 
 from behave import then, when
 from hypothesis import strategies
