--- a/features/properties.feature
+++ b/features/properties.feature
@@ -1,22 +1,22 @@
 Feature: Properties of the cores under any order of messages
   Entry and agent cores share one process and one manual time. Which message is
-  delivered next, doubled or lost, who is paused or restarted and how long time
-  goes on is chosen by a seeded generator. After every step: a request runs at
-  most once, "not run" is never said of one that runs, a caller's parts come in
-  order with one final part, and nobody who leaves dispatches. In the end every
-  fault is healed, and every caller whose entry lived has its final part.
+  delivered next, duplicated or lost, which daemon is paused or restarted and how far
+  time advances is chosen by a seeded generator. After every step: a request runs at
+  most once, "not run" is never reported for one that ran, a caller's parts arrive in
+  order with one final part, and no leaving agent dispatches. At the end all faults
+  are cleared, and every caller whose entry survived has its final part.
 
   Scenario: Requests without a key
     Grants, refusals, revokes and pieces are lost, doubled and late; entries and
-    agents are paused and restarted; upstreams refuse and break. An entry that
-    is in doubt asks, and never dispatches again what may have run.
+    agents are paused and restarted; upstreams refuse and break. An entry
+    that is in doubt queries the agent, and never grants again what may have run.
     Then no promise to unkeyed requests is broken in any of 250 runs
 
   Scenario: Keys sent again while agents join, leave and die
     A key is sent once, then again through any entry, while the log is cut for
     some daemons, appends are lost, agents hand their keys over and new ones
     join. The first attempt may still wait in a paused entry. Within its
-    lifetime a key runs once over all agents.
+    lifetime a key runs once across all agents.
     Then no promise to keyed requests is broken in any of 400 runs
 
   Scenario: Keys that outlive the agents that ran them
@@ -26,8 +26,8 @@
     Then no promise to handed over keys is broken in any of 250 runs
 
   Scenario: Keys and leases that end
-    Keys live for little longer than the longest deadline and roster leases for
-    seconds, so claims, holds and roster records lapse while requests wait. A key
+    Keys live slightly longer than the longest deadline and roster leases a few
+    seconds, so claims, holds and roster records expire while requests wait. A key
     may run again only after its lifetime.
     Then no promise to short-lived keys is broken in any of 250 runs
 
@@ -50,17 +50,17 @@
 
   Scenario: An agent renews its roster record after its lease
     An agent can't reach the log for longer than its lease and a key's lifetime,
-    so the roster has forgotten it. A re-send doesn't ask it for the key and runs
-    elsewhere. Back in the roster, the agent must refuse the first send, which
-    was stamped before that: it once ran the key again.
+    so the roster no longer names it. A re-send doesn't ask it for the key and runs
+    elsewhere. Once back in the roster, the agent must refuse the first send, whose
+    stamp is older: it once ran the key again.
     Then no promise is broken by these choices with short-lived keys
       """
       cut_log 2, jump 1, jump 2, flow 0, flow 1, send_first 1, send_again 1
       """
 
   Scenario: A floor above two tiers reaches the entries one after the other
-    An entry full of the highest tier asks for room. A peer that heard of it
-    dropped the tier between, while another, which hadn't heard, kept the lowest.
+    An entry full of the highest tier requests a floor. The peer that received it
+    dropped the middle tier, while another, not yet reached, kept the lowest.
     Then no tier is shed before a lower one by these choices
       """
       send_some 1, local 0, send_some 14, send_some 1, send_some 9, send_some 14,
@@ -70,6 +70,6 @@
   Scenario: A request refused for its key comes back below a floor
     A keyed request of the lowest tier was granted when a peer's floor came. The
     agent refuses it for its stamp. It must not claim its key and wait again: the
-    peer sheds a higher tier in the belief that nothing lower waits.
+    peer sheds a higher tier on the assumption that no lower one waits.
     When a granted keyed request is refused for its stamp below a peer's floor
     Then its caller is told that it was shed and may have run elsewhere
--- a/lavenderspoke/membership/roster.py
+++ b/lavenderspoke/membership/roster.py
@@ -1,9 +1,9 @@
-"""The roster: which agent incarnations could ever have run a keyed request.
+"""The roster: the agent incarnations that may have run a keyed request.
 
 An agent appends a join record to the log's `roster` stream before it accepts
-keyed work, renews it while it lives, and appends a leave record when it has
-handed its keys over. Entries fold the stream. A request is stamped with the
-offset folded when it arrived, and an agent refuses a stamp below its own join
+keyed work, renews it while it runs, and appends a leave record once it has handed
+its keys over. Entries apply the stream in order. A request is stamped on arrival
+with the last offset applied, and an agent refuses a stamp below its own join
 offset, so the incarnations that could run an attempt are fixed on arrival.
 """
 
@@ -21,7 +21,7 @@
 class Join:
     """An incarnation joins, or renews its join.
 
-    `join_offset` is None in the first record, whose own offset it becomes.
+    None as `join_offset` marks the first record: its own offset is the join offset.
     """
 
     agent: InstanceId
@@ -34,9 +34,9 @@
 
 @attrs.frozen(kw_only=True)
 class Leave:
-    """An incarnation has left cleanly and accepts nothing any more.
+    """An incarnation has left cleanly and accepts no more work.
 
-    `heir` holds its keys and answers for it; None says that it held no key.
+    `heir` holds its keys and answers for them; None if it held no key.
     """
 
     agent: InstanceId
@@ -45,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class RosterError:
-    """A roster record can't be read."""
+    """A roster record can't be decoded."""
 
     detail: str
 
@@ -62,19 +62,19 @@
 
 
 def decode(payload: bytes) -> Result[RosterRecord, RosterError]:
-    """Read a record back; bytes from outside never raise."""
+    """Decode a record; malformed bytes give an Err and never raise."""
     try:
         return Ok(_converter.loads(payload, RosterRecord))
-    # cattrs and msgpack raise many types on bad bytes, all of them Exceptions.
+    # cattrs and msgpack raise many types of Exception on malformed bytes.
     except Exception as error:
         return Err(RosterError(detail=f"{type(error).__name__}: {error}"))
 
 
 @attrs.define(kw_only=True)
-class Life:
-    """What the roster says of one incarnation of an agent.
+class AgentIncarnation:
+    """The roster's state of one incarnation of an agent.
 
-    `heard_s` is when this reader folded the last record about it, on the
+    `last_heard_s` is when this reader applied the last record about it, on the
     reader's own clock.
     """
 
@@ -83,15 +83,15 @@
     upstream: str
     address: str
     join_offset: int
-    heard_s: float
+    last_heard_s: float
     left: bool = False
     heir: InstanceId | None = None
-    succeeded: bool = False
+    superseded: bool = False
 
 
 @attrs.define(kw_only=True)
 class Roster:
-    """The roster folds join and leave records in offset order.
+    """The state built from join and leave records in offset order.
 
     `lease_s` is how long an agent accepts keyed work after its last renewal.
     """
@@ -99,10 +99,10 @@
     lease_s: float
     offset: int = -1
     skipped: int = 0
-    _lives: dict[InstanceId, Life] = attrs.field(factory=dict)
+    _incarnations: dict[InstanceId, AgentIncarnation] = attrs.field(factory=dict)
 
     def apply(self, *, offset: int, payload: bytes, now_s: float) -> None:
-        """Fold one record; an unreadable one is skipped and counted."""
+        """Apply one record; an undecodable one is skipped and counted."""
         if offset <= self.offset:
             return
         self.offset = offset
@@ -114,64 +114,78 @@
         else:
             self._leave(decoded.ok_value, now_s)
 
-    def reached(self, offset: int) -> None:
-        """Note that everything up to `offset` has been read."""
+    def advance_to(self, offset: int) -> None:
+        """Record that everything up to `offset` has been read."""
         self.offset = max(self.offset, offset)
 
     def _join(self, join: Join, offset: int, now_s: float) -> None:
-        life = self._lives.get(join.agent)
-        if life is not None:
-            life.heard_s = now_s
+        incarnation = self._incarnations.get(join.agent)
+        if incarnation is not None:
+            incarnation.last_heard_s = now_s
             return
-        life = Life(
+        incarnation = AgentIncarnation(
             agent=join.agent,
             service=join.service,
             upstream=join.upstream,
             address=join.address,
             join_offset=offset if join.join_offset is None else join.join_offset,
-            heard_s=now_s,
+            last_heard_s=now_s,
         )
-        self._lives[join.agent] = life
-        self._mark_succeeded(join.agent.name)
-
-    def _mark_succeeded(self, name: str) -> None:
-        # Renewals may come in any order: the last to join is the one that lives.
-        lives = [life for life in self._lives.values() if life.agent.name == name]
-        newest = max(life.join_offset for life in lives)
-        for life in lives:
-            life.succeeded = life.join_offset < newest
+        self._incarnations[join.agent] = incarnation
+        self._mark_superseded(join.agent.name)
+
+    def _mark_superseded(self, name: str) -> None:
+        # Renewals may come in any order: the highest join offset is current.
+        incarnations = [
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.agent.name == name
+        ]
+        newest = max(incarnation.join_offset for incarnation in incarnations)
+        for incarnation in incarnations:
+            incarnation.superseded = incarnation.join_offset < newest
 
     def _leave(self, leave: Leave, now_s: float) -> None:
-        life = self._lives.get(leave.agent)
-        if life is not None:
-            life.left = True
-            life.heir = leave.heir
-            life.heard_s = now_s
+        incarnation = self._incarnations.get(leave.agent)
+        if incarnation is not None:
+            incarnation.left = True
+            incarnation.heir = leave.heir
+            incarnation.last_heard_s = now_s
 
-    def get(self, agent: InstanceId) -> Life | None:
-        """Return what is known of an incarnation."""
-        return self._lives.get(agent)
+    def get(self, agent: InstanceId) -> AgentIncarnation | None:
+        """Return the state of an incarnation, or None if it is unknown."""
+        return self._incarnations.get(agent)
 
-    def accountable(
+    def possible_key_holders(
         self, service: str, *, now_s: float, key_lifetime_s: float
-    ) -> list[Life]:
+    ) -> list[AgentIncarnation]:
         """Return the incarnations that may hold a live key of the service.
 
-        One that has not been heard of for its lease and a key's lifetime holds
-        none: it refused keyed work from the end of its lease on, and what it
-        ran before has passed the lifetime. Both are counted from when this
-        reader heard of it, which is later, so the error is on the safe side.
+        One without a record for its lease plus a key's lifetime holds none and
+        is removed: it refused keyed work from the end of its lease, and the keys
+        that it ran before have expired. Both times count from when this reader
+        applied the record, which is later, so the error is on the safe side.
         """
         horizon_s = now_s - self.lease_s - key_lifetime_s
-        expired = [key for key, life in self._lives.items() if life.heard_s < horizon_s]
+        expired = [
+            key
+            for key, incarnation in self._incarnations.items()
+            if incarnation.last_heard_s < horizon_s
+        ]
         for key in expired:
-            del self._lives[key]
-        return [life for life in self._lives.values() if life.service == service]
+            del self._incarnations[key]
+        return [
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.service == service
+        ]
 
-    def alive(self, service: str) -> list[Life]:
-        """Return the incarnations that have neither left nor been succeeded."""
+    def alive(self, service: str) -> list[AgentIncarnation]:
+        """Return the incarnations that have neither left nor been superseded."""
         return [
-            life
-            for life in self._lives.values()
-            if life.service == service and not life.left and not life.succeeded
+            incarnation
+            for incarnation in self._incarnations.values()
+            if incarnation.service == service
+            and not incarnation.left
+            and not incarnation.superseded
         ]
