--- a/features/explain.feature
+++ b/features/explain.feature
@@ -6,7 +6,7 @@
     gives the reason, the upstreams that were tried, and that nothing ran.
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every desk upstream answers "full"
-    When a plain answer is asked for through the entry
+    When a plain response is requested through the entry
     And its id is explained from the entry's log
     Then the explanation contains "No upstream had a free slot in time; it has not run."
     And the explanation contains "desk-1:not_run"
@@ -15,7 +15,7 @@
   Scenario: A stream breaks off midway
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every model upstream cuts its first stream after 3 events
-    When a stream that may run once is asked for through the entry
+    When a stream that must run at most once is requested through the entry
     And its id is explained from the entry's log
     Then the explanation contains "The answer broke off after it had begun"
     And the explanation contains ":broken"
@@ -23,8 +23,8 @@
   Scenario: A request may have run, but no answer arrived
     Given a platform with an entry, two model upstreams and two desk upstreams
     And every desk upstream answers "truncate"
-    When 1 repeatable and 1 single requests are sent through the entry
-    And the single one's id is explained from the entry's log
+    When 1 idempotent and 1 at-most-once requests are sent through the entry
+    And the at-most-once one's id is explained from the entry's log
     Then the explanation contains "It may have run, but no complete answer arrived."
 
   Scenario: Lines are truncated, from other programs or out of order
--- a/lavenderspoke/entry.py
+++ b/lavenderspoke/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers on one side, agents and other entries on the other."""
+"""The entry daemon: serves callers and talks to agents and other entries."""
 
 import functools
 from random import Random
@@ -10,7 +10,7 @@
 from lavenderspoke.dispatching import EntryPolicy
 from lavenderspoke.entrycore import EntryCore, EntryIdentity, EntryTimes
 from lavenderspoke.entrygateway import EntryGateway
-from lavenderspoke.following import FollowingTimes
+from lavenderspoke.following import GrantTimeouts
 from lavenderspoke.http.server import Tls
 from lavenderspoke.membership.memberlist import Role
 from lavenderspoke.periodic import Periodic
@@ -21,7 +21,7 @@
 
 
 class EntryDaemon(Daemon):
-    """One entry."""
+    """Connects the entry's state machine to its servers and feeds."""
 
     role = "entry"
 
@@ -66,7 +66,7 @@
             agent_lost_s=settings.silence_s,
             peer_lost_s=settings.silence_s,
             roster_lease_s=settings.roster_lease_s,
-            following=FollowingTimes(grant_answer_s=settings.grant_answer_s),
+            grant_timeouts=GrantTimeouts(grant_timeout_s=settings.grant_answer_s),
         )
         return EntryCore(
             identity=identity,
@@ -96,12 +96,12 @@
         )
 
     def drain(self) -> None:
-        # Signal handlers must return at once; the core finishes what it has.
-        self.loop.post(events.DrainWanted())
+        # Signal handlers must not block; the core finishes the open requests.
+        self.loop.post(events.DrainRequested())
         self.exit_after_drain()
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether the entry has documents and is not draining."""
         return bool(self.core.services) and not self.core.draining
 
     def core_status(self) -> dict:
@@ -117,12 +117,12 @@
 
     @perform.register
     def _(self, action: events.ReadRoster) -> None:
-        self.roster.want(action.read_id)
+        self.roster.request_read(action.read_id)
         self.roster_part.wake()
 
 
 def entry_policy(settings: PolicySettings) -> EntryPolicy:
-    """Return the rules that the settings name."""
+    """Return the scheduling policy that the settings select."""
     queue = QueuePolicy(
         tiers=settings.tiers,
         fair=settings.fair,
--- a/lavenderspoke/reports.py
+++ b/lavenderspoke/reports.py
@@ -1,4 +1,4 @@
-"""What the status pages say of the state machines, as plain JSON data."""
+"""The status reports of the state machines, as plain JSON data."""
 
 from collections import Counter
 
@@ -9,12 +9,12 @@
 
 
 def entry_report(core: EntryCore) -> dict:
-    """Return what an entry holds; call it on the core's own thread."""
+    """Return an entry's report; call it on the core's own thread."""
     waiting = {name: {} for name in core.services}
     running = {name: {} for name in core.services}
     for name, state in core.services.items():
         waiting[name] = by_tier_name(state.service, state.queue.counts())
-        running[name] = by_tier_name(state.service, _out(core, name))
+        running[name] = by_tier_name(state.service, _running_by_tier(core, name))
     return {
         "waiting": waiting,
         "running": running,
@@ -26,15 +26,15 @@
 
 
 def by_tier_name(service: Service, counts: dict[int, int]) -> dict[str, int]:
-    """Return counts by the names of tiers; every tier of the service is there."""
+    """Return counts by tier name, with 0 for tiers without requests."""
     return {tier.name: counts.get(tier.rank, 0) for tier in service.tiers}
 
 
-def _out(core: EntryCore, name: str) -> Counter:
+def _running_by_tier(core: EntryCore, name: str) -> Counter:
     return Counter(
         tracked.call.tier
         for tracked in core.requests
-        if tracked.is_out and tracked.call.service == name
+        if tracked.is_with_agent and tracked.call.service == name
     )
 
 
@@ -63,7 +63,7 @@
 
 
 def agent_report(core: AgentCore) -> dict:
-    """Return what an agent holds; call it on the core's own thread."""
+    """Return an agent's report; call it on the core's own thread."""
     identity = core.identity
     running = Counter(run.call.tier for run in core.ledger.running())
     return {
--- a/lavenderspoke/resend.py
+++ b/lavenderspoke/resend.py
@@ -1,11 +1,10 @@
-"""Whether a key sent again may run: the round of claims.
-
-The entry reads the roster to its present end after the request came. Every
-incarnation that an earlier attempt could have reached had joined by then, so
-the roster names it. Each is asked to claim the key for this attempt. Only when
-all of them have does the attempt wait for a grant; an agent that ran the key,
-or has claimed it for another attempt, says so; one that can't answer makes the
-outcome unknown.
+"""Decides by a round of claims whether a re-sent key may run.
+
+After the request has arrived, the entry reads the roster to its current end. Every
+incarnation that an earlier attempt could have reached had joined by then, so the
+roster names it. Each is asked to claim the key for this attempt, which is queued
+only when all have done so. An agent that ran the key, or has claimed it for another
+attempt, reports that; one that can't answer makes the outcome unknown.
 """
 
 import enum
@@ -13,44 +12,44 @@
 import attrs
 
 from lavenderspoke.core import Send
-from lavenderspoke.membership.roster import Life
+from lavenderspoke.membership.roster import AgentIncarnation
 from lavenderspoke.messages import Claim, Claimed, Unclaim
 from lavenderspoke.model import InstanceId, Standing
 
-ASK_AGAIN_S = 0.25
+CLAIM_RETRY_S = 0.25
 
 
-class Claims(enum.Enum):
-    """How a round ended."""
+class ClaimResult(enum.Enum):
+    """The result of a round."""
 
     ALL_HELD = "all_held"  # no attempt has run; this one may be granted
     RAN = "ran"  # an agent ran the key: attach to its answer
     TAKEN = "taken"  # another attempt has claimed the key
-    UNKNOWN = "unknown"  # someone who may have run it can't answer
+    UNKNOWN = "unknown"  # an agent that may have run it can't answer
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
-    """The end of a round; `agent` and `holder` name the run that was found."""
+class ClaimOutcome:
+    """The end of a round; for RAN, `agent` and `holder` name the run."""
 
-    claims: Claims
+    result: ClaimResult
     agent: InstanceId | None = None
     holder: str | None = None
 
 
 @attrs.define(kw_only=True)
-class ResendRound:
+class ClaimRound:
     """One round of claims for one attempt.
 
-    `lifetime_s` is how long the claims are to last at the agents, and
-    `until_s` when the round gives up on those that haven't answered.
+    `lifetime_s` is how long agents keep the claims. At `deadline_s`, on the entry's
+    clock, the round stops waiting for agents that haven't answered.
     """
 
     request_id: str
     key: str
     number: int
     lifetime_s: float
-    until_s: float
+    deadline_s: float
     read_id: str
     stamp: int = -1
     asked: set[InstanceId] | None = None
@@ -58,28 +57,30 @@
     _unreachable: bool = False
     _ask_s: float = 0.0
 
-    def roster_read(self, lives: list[Life], offset: int, now_s: float) -> list[Send]:
-        """Ask every incarnation that the roster, read to `offset`, names."""
+    def roster_read(
+        self, incarnations: list[AgentIncarnation], offset: int, now_s: float
+    ) -> list[Send]:
+        """Send claims for the incarnations in the roster as read to `offset`."""
         self.stamp = offset
         self.asked = set()
-        known = {life.agent: life for life in lives}
-        for life in lives:
-            target = answering(life, known)
+        known = {incarnation.agent: incarnation for incarnation in incarnations}
+        for incarnation in incarnations:
+            target = find_answerer(incarnation, known)
             if target is None:
                 self._unreachable = True
-            elif target is not NOBODY:
+            elif target is not NO_ANSWERER:
                 self.asked.add(target)
         return self.ask(now_s)
 
     def roster_failed(self) -> None:
-        """The roster can't be read: someone unknown may have run the key."""
+        """Record that the roster can't be read: any agent may have run the key."""
         self._unreachable = True
 
     def ask(self, now_s: float) -> list[Send]:
-        """Ask again those that haven't answered, when it is time."""
+        """Return claims for agents that haven't answered, if a retry is due."""
         if self.asked is None or now_s < self._ask_s:
             return []
-        self._ask_s = now_s + ASK_AGAIN_S
+        self._ask_s = now_s + CLAIM_RETRY_S
         claim = Claim(
             key=self.key,
             request_id=self.request_id,
@@ -92,17 +93,17 @@
             if agent not in self._answers
         ]
 
-    def answered(self, sender: InstanceId, claimed: Claimed) -> None:
-        """Take an agent's answer."""
+    def record_answer(self, sender: InstanceId, claimed: Claimed) -> None:
+        """Record an agent's answer to the current round."""
         current = claimed.round == self.number
         if current and self.asked is not None and sender in self.asked:
             self._answers[sender] = claimed
 
-    def outcome(self, now_s: float) -> Outcome | None:
-        """Return how the round ended, or None while it goes on.
+    def outcome(self, now_s: float) -> ClaimOutcome | None:
+        """Return the outcome of the round, or None while it is open.
 
-        A run that was found goes before everything: its answer is the answer,
-        whatever else can't be asked.
+        A run that was found takes precedence, even if other agents can't be asked:
+        its answer is the answer to this attempt.
         """
         others = {
             agent: claimed
@@ -111,38 +112,44 @@
         }
         for agent, claimed in others.items():
             if claimed.standing is not Standing.CLAIMED:
-                return Outcome(claims=Claims.RAN, agent=agent, holder=claimed.holder)
+                return ClaimOutcome(
+                    result=ClaimResult.RAN, agent=agent, holder=claimed.holder
+                )
         if self._unreachable:
-            return Outcome(claims=Claims.UNKNOWN)
+            return ClaimOutcome(result=ClaimResult.UNKNOWN)
         if self.asked is not None and len(self._answers) == len(self.asked):
-            claims = Claims.TAKEN if others else Claims.ALL_HELD
-            return Outcome(claims=claims)
-        if now_s >= self.until_s:
-            return Outcome(claims=Claims.TAKEN if others else Claims.UNKNOWN)
+            result = ClaimResult.TAKEN if others else ClaimResult.ALL_HELD
+            return ClaimOutcome(result=result)
+        if now_s >= self.deadline_s:
+            return ClaimOutcome(
+                result=ClaimResult.TAKEN if others else ClaimResult.UNKNOWN
+            )
         return None
 
-    def give_back(self) -> list[Send]:
-        """Return the messages that free what this round claimed."""
+    def release(self) -> list[Send]:
+        """Return the messages that release this round's claims."""
         unclaim = Unclaim(key=self.key, request_id=self.request_id, round=self.number)
         return [Send(recipient=agent, message=unclaim) for agent in self.asked or ()]
 
 
-# What `answering` returns for an incarnation that left and held no key.
-NOBODY = InstanceId(name="", incarnation="")
+# Returned by `find_answerer` for an incarnation that left without holding any key.
+NO_ANSWERER = InstanceId(name="", incarnation="")
 
 
-def answering(life: Life, known: dict[InstanceId, Life]) -> InstanceId | None:
-    """Return who answers for an incarnation's keys; None when nobody can.
+def find_answerer(
+    incarnation: AgentIncarnation, known: dict[InstanceId, AgentIncarnation]
+) -> InstanceId | None:
+    """Return the agent that answers for an incarnation's keys, None if there is none.
 
-    One that left cleanly named its heir, who has its keys. One that was
-    succeeded without leaving took its keys with it.
+    An incarnation that left cleanly handed its keys to the heir it named. The keys
+    of one that was superseded without leaving are lost.
     """
     seen = set()
-    while life.left:
-        if life.heir is None:
-            return NOBODY
-        if life.heir in seen or life.heir not in known:
+    while incarnation.left:
+        if incarnation.heir is None:
+            return NO_ANSWERER
+        if incarnation.heir in seen or incarnation.heir not in known:
             return None
-        seen.add(life.heir)
-        life = known[life.heir]
-    return None if life.succeeded else life.agent
+        seen.add(incarnation.heir)
+        incarnation = known[incarnation.heir]
+    return None if incarnation.superseded else incarnation.agent
--- a/lavenderspoke/servicestate.py
+++ b/lavenderspoke/servicestate.py
@@ -1,4 +1,4 @@
-"""All that an entry holds for one service: queue, limits, floors, demand."""
+"""An entry's state of one service: queue, admission, floors, demand."""
 
 from random import Random
 
@@ -13,16 +13,16 @@
 from lavenderspoke.poison import CrashHistory
 from lavenderspoke.retrybudget import RetryAllowance
 from lavenderspoke.shedding import FloorCoordinator
-from lavenderspoke.tracked import Tracked
+from lavenderspoke.tracked import TrackedRequest
 from lavenderspoke.views import AgentView
 from lavenderspoke.waiting import WaitingQueue, WaitingRequest, cost_tokens
 
-# Upstreams times prefixes that an entry remembers for a service.
+# Limit of (upstream, prefix) pairs that an entry remembers for a service.
 PREFIX_INDEX_ENTRIES_MAX = 50_000
-# While a floor is being asked for, this many times the limit may wait. Past it
-# the memory of the entry goes first, and the order of tiers holds here only.
-HARD_LIMIT = 2
-ANY_RANK = 1 << 30
+# While a floor is being requested, up to this multiple of the limits may wait. Above
+# it the entry drops at once to protect its memory, in order of tiers only locally.
+HARD_LIMIT_FACTOR = 2
+RANK_BOUND = 1 << 30
 
 
 class ServiceState:
@@ -50,7 +50,7 @@
         self.retries = RetryAllowance(budget=service.retry_budget)
 
     def configure(self, service: Service, version: int, now_s: float) -> None:
-        """Put another document in force."""
+        """Apply another version of the service's document."""
         self.service = service
         self.version = version
         self.queue.reconfigure(service, now_s)
@@ -59,72 +59,73 @@
         self.crashes.reconfigure(service.poison)
         self.retries.reconfigure(service.retry_budget)
 
-    def cached_tokens(self, tracked: Tracked) -> dict[str, int]:
-        """Return the upstreams believed to hold the request's prefix."""
+    def cached_tokens(self, tracked: TrackedRequest) -> dict[str, int]:
+        """Return the cached tokens of the request's prefix by upstream."""
         hashes = tracked.call.prefix_hashes
         if not hashes:
             return {}
         return self.prefix_index.lookup(hashes, self.service.prefixes.block_tokens)
 
-    def enqueue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
-        """Let a request wait; return the upstreams believed warm for it."""
-        warm = self.cached_tokens(tracked)
-        self.queue.add(self._waiting(tracked, warm), now_s)
-        return warm
-
-    def requeue(self, tracked: Tracked, now_s: float) -> dict[str, int]:
-        """Let a request wait again that was granted and did not run."""
-        warm = self.cached_tokens(tracked)
-        self.queue.requeue(self._waiting(tracked, warm), now_s)
-        return warm
-
-    def _waiting(self, tracked: Tracked, warm: dict[str, int]) -> WaitingRequest:
+    def enqueue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
+        """Queue a request; return its cached tokens by upstream."""
+        cached_tokens = self.cached_tokens(tracked)
+        self.queue.add(self._waiting(tracked, cached_tokens), now_s)
+        return cached_tokens
+
+    def requeue(self, tracked: TrackedRequest, now_s: float) -> dict[str, int]:
+        """Queue again a request that was granted and did not run."""
+        cached_tokens = self.cached_tokens(tracked)
+        self.queue.requeue(self._waiting(tracked, cached_tokens), now_s)
+        return cached_tokens
+
+    def _waiting(
+        self, tracked: TrackedRequest, cached_tokens: dict[str, int]
+    ) -> WaitingRequest:
         return WaitingRequest(
             call=tracked.call,
             arrived_s=tracked.arrived_s,
             deadline_s=tracked.deadline_s,
             stamp=tracked.stamp,
-            cached_tokens=warm,
+            cached_tokens=cached_tokens,
         )
 
     def retry_after_s(self, rank: int, now_s: float) -> float:
-        """Return when a caller of a tier should come back, with jitter."""
+        """Return the seconds after which a caller should retry, with jitter."""
         return self.admission.retry_after_s(rank, now_s, self.queue, self.drain_rate)
 
-    def below_floor(self, rank: int, now_s: float) -> bool:
-        """Return whether a floor in force keeps this tier out."""
+    def is_below_floor(self, rank: int, now_s: float) -> bool:
+        """Return whether the tier is below the current floor."""
         floor = self.floors.floor_rank(now_s)
         return floor is not None and rank < floor
 
     def is_full(self) -> bool:
-        """Return whether more waits than the document allows."""
+        """Return whether the queue exceeds the document's limits."""
         limits = self.service.waiting
         return (
             len(self.queue) > limits.requests_max or self.queue.bytes > limits.bytes_max
         )
 
     def is_overfull(self) -> bool:
-        """Return whether the entry's memory is in danger."""
+        """Return whether the queue exceeds the hard limit."""
         limits = self.service.waiting
         return (
-            len(self.queue) > limits.requests_max * HARD_LIMIT
-            or self.queue.bytes > limits.bytes_max * HARD_LIMIT
+            len(self.queue) > limits.requests_max * HARD_LIMIT_FACTOR
+            or self.queue.bytes > limits.bytes_max * HARD_LIMIT_FACTOR
         )
 
-    def victims(
+    def remove_victims(
         self, now_s: float, peers: set[InstanceId], excess: int, is_forced: bool
     ) -> tuple[list, list]:
-        """Return the requests to drop for want of room, and other actions.
+        """Remove and return the requests to drop, and other actions.
 
-        `excess` is what the entry holds too much of, over all its services.
+        `excess` is the number of requests over the entry's limit, in all services.
 
-        The lowest tier goes first, here and at every other entry: before work
-        is dropped of a tier that isn't the lowest, the peers must have dropped
-        theirs below it.
+        The lowest tier is dropped first, across all entries: before a request of a
+        higher tier is dropped, the peers must have dropped theirs below it.
         """
         dropped, actions = [], []
         while len(self.queue) and (self.is_full() or len(dropped) < excess):
-            victim = self.queue.lowest_victim(ANY_RANK)
+            victim = self.queue.lowest_victim(RANK_BOUND)
             rank = victim.call.tier
             if self.policy.service_wide_shedding:
                 actions += self.floors.request_floor(rank, now_s, peers)
@@ -137,24 +138,24 @@
     def answer_pull(
         self, pull: Pull, view: AgentView, now_s: float
     ) -> tuple[list[Grant], PullDone]:
-        """Take out what an agent may run, at most as much as it pulled."""
+        """Dequeue and grant at most `pull.slots` requests."""
         grants = []
         while len(grants) < pull.slots:
-            request = self._take(pull.rank_min, view, now_s)
+            request = self._dequeue(pull.rank_min, view, now_s)
             if request is None:
                 break
             grants.append(self._grant(request, pull.nonce, now_s))
-        return grants, self._done(pull, grants, view)
+        return grants, self._pull_done(pull, grants, view)
 
     def push(self, nonce: str, view: AgentView, now_s: float) -> Grant | None:
-        """Take out what is pushed to an agent, whatever room it has."""
-        request = self._take(-ANY_RANK, view, now_s)
+        """Dequeue and grant one request, regardless of the agent's free slots."""
+        request = self._dequeue(-RANK_BOUND, view, now_s)
         return None if request is None else self._grant(request, nonce, now_s)
 
-    def _take(
+    def _dequeue(
         self, rank_min: int, view: AgentView, now_s: float
     ) -> WaitingRequest | None:
-        if self.policy.queue.tiers and self._highest() < rank_min:
+        if self.policy.queue.tiers and self._highest_rank() < rank_min:
             return None
         request = self.queue.take(now_s, upstream=view.announce.upstream)
         if request is None:
@@ -162,13 +163,13 @@
         if self.policy.queue.tiers and request.call.tier < rank_min:
             self.queue.requeue(request, now_s)
             return None
-        self._drained(request, now_s)
+        self._record_drain(request, now_s)
         return request
 
-    def _highest(self) -> int:
-        return max(self.queue.counts(), default=-ANY_RANK)
+    def _highest_rank(self) -> int:
+        return max(self.queue.counts(), default=-RANK_BOUND)
 
-    def _drained(self, request: WaitingRequest, now_s: float) -> None:
+    def _record_drain(self, request: WaitingRequest, now_s: float) -> None:
         call = request.call
         self.drain_rate.record_grant(
             call.tier, cost_tokens(call), now_s, self.queue.counts()
@@ -182,11 +183,11 @@
             deadline_in_s=request.deadline_s - now_s,
         )
 
-    def _done(self, pull: Pull, grants: list[Grant], view: AgentView) -> PullDone:
+    def _pull_done(self, pull: Pull, grants: list[Grant], view: AgentView) -> PullDone:
         waiting = self.queue.counts()
         if not grants:
-            # Nothing that waits at these tiers is for this agent now; it would
-            # only ask again at once, without end. The next demand tells it.
+            # No request at these tiers is available to this agent now. If they were
+            # reported, it would pull again in a loop; the next demand notifies it.
             waiting = {r: n for r, n in waiting.items() if r < pull.rank_min}
         self.demand.record_notified(view.agent, waiting)
         return PullDone(
