--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -322,8 +322,8 @@
 @when("all records are read twice without it")
 def step_read_without(context):
     for next_offset in (6, 9):
-        context.orders.take(
-            RecordBatch(records=(), next_offset=next_offset), whole=True
+        context.orders.apply(
+            RecordBatch(records=(), next_offset=next_offset), is_snapshot=True
         )
 
 
@@ -334,8 +334,8 @@
 
 @when("a delayed read returns the removed record once more")
 def step_shown_again(context):
-    context.orders.take(
-        RecordBatch(records=(ORDER_RECORD,), next_offset=4), whole=False
+    context.orders.apply(
+        RecordBatch(records=(ORDER_RECORD,), next_offset=4), is_snapshot=False
     )
 
 
