--- a/lavenderspoke/platform/settingsfile.py
+++ b/lavenderspoke/platform/settingsfile.py
@@ -23,7 +23,7 @@
 
 
 def check(paths: list[str]) -> int:
-    """Print every error in these files; return 0 if there are none."""
+    """Print every error in these files; return 0 if there are none, else 1."""
     status = 0
     for path in paths:
         try:
